--- a/benchmarks/mechanisms.py
+++ b/benchmarks/mechanisms.py
@@ -130,7 +130,7 @@
     ),
     Mechanism(
         "a faulty version is taken back",
-        (Edit("nodes/driving.py", "if verdict.judgement is Judgement.FAULTY:", "if False:"),),
+        (Edit("nodes/driving.py", "if verdict.outcome is Judgement.FAULTY:", "if False:"),),
         ("tests.nodes.test_driving",),
     ),
     Mechanism(
@@ -138,8 +138,8 @@
         (
             Edit(
                 "moves/shared.py",
-                "taken_back = self.taken_back or other.taken_back",
-                "taken_back = self.taken_back and other.taken_back",
+                "rolled_back = self.rolled_back or other.rolled_back",
+                "rolled_back = self.rolled_back and other.rolled_back",
             ),
         ),
         ("tests.moves.test_shared",),
@@ -165,7 +165,7 @@
             ),
             Edit(
                 "nodes/driving.py",
-                "        if self._shared_moves.is_taken_back(offset):\n            return False\n",
+                "        if self._shared_moves.is_rolled_back(offset):\n            return False\n",
                 "",
             ),
         ),
--- a/benchmarks/membership_costs.py
+++ b/benchmarks/membership_costs.py
@@ -64,8 +64,8 @@
     tracemalloc.start()
     kept = make_members(count, services)
     table = fill(kept)
-    table.alive()
-    table.others()
+    table.live_members()
+    table.live_peers()
     memory_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     composer = Composer(table, SharedMoves(), lambda: 0)
@@ -117,7 +117,7 @@
 
 def _rebuilt(table: MemberTable) -> None:
     table.update_own()
-    table.others()
+    table.live_peers()
 
 
 def _digest(table: MemberTable) -> None:
--- a/benchmarks/membership_participant.py
+++ b/benchmarks/membership_participant.py
@@ -142,7 +142,7 @@
                 "at": time.monotonic(),
                 "cpu_s": time.process_time(),
                 "bytes_by_kind": self.bytes_by_kind,
-                "members": len(self.table.alive()),
+                "members": len(self.table.live_members()),
             }
         )
 
--- a/benchmarks/move_model/policies.py
+++ b/benchmarks/move_model/policies.py
@@ -56,13 +56,13 @@
 
     def tick(self, totals: Totals, now_s: float) -> None:
         share = self.share_permille
-        self._controller.observe(totals, share, now_s)
-        pace = self._controller.pace(share, int(now_s * 1000), now_s)
-        self.done = pace.done
-        self.taken_back = pace.take_back
-        if pace.done or pace.take_back:
-            self.reason = f"{pace.rule} ({self._controller.verdict.evidence})"
-        state = SharedMove(OFFSET, pace.share_permille, pace.take_back, pace.rule)
+        self._controller.update_analysis(totals, share, now_s)
+        pace = self._controller.next_step(share, int(now_s * 1000), now_s)
+        self.done = pace.completed
+        self.taken_back = pace.roll_back
+        if pace.completed or pace.roll_back:
+            self.reason = f"{pace.rule} ({self._controller.latest_result.evidence})"
+        state = SharedMove(OFFSET, pace.share_permille, pace.roll_back, pace.rule)
         self._shared.merge(state)
         self._shared.merge(state)
 
--- a/benchmarks/move_model/run.py
+++ b/benchmarks/move_model/run.py
@@ -129,7 +129,7 @@
         for target, count in self._spread(now_s, calls):
             if not count:
                 continue
-            warming = [target.warm_up.is_warming(now_s) for _ in range(count)]
+            warming = [target.warm_up.count_call(now_s) for _ in range(count)]
             met = outcome
             if self._scenario.cold_start and target.is_cold(now_s, count):
                 met = Outcome(outcome.errors, COLD)
--- a/src/bulrushflow/callers/dispatcher.py
+++ b/src/bulrushflow/callers/dispatcher.py
@@ -56,12 +56,12 @@
             configuration, call.service, self._shared_moves.share_permille, self._rng
         )
         budget = self._budget(configuration, call.service)
-        budget.earn()
+        budget.replenish()
         tried: set[str] = set()
         rounds = 0
         last = not_run(f"no ready target for service {call.service}")
         for retries in range(MAX_ATTEMPTS):
-            if retries and not budget.spend():
+            if retries and not budget.try_consume():
                 return last
             chosen = self._choose(call.service, versions, tried)
             if chosen is None and tried:
--- a/src/bulrushflow/callers/server.py
+++ b/src/bulrushflow/callers/server.py
@@ -113,7 +113,7 @@
 
     async def _write(self, request: web.BaseRequest, answer: web.Response) -> web.Response:
         size = answer.content_length or 0
-        self._buffered.take(size)
+        self._buffered.force_reserve(size)
         try:
             async with asyncio.timeout(WRITE_TIMEOUT_S):
                 await answer.prepare(request)
--- a/src/bulrushflow/configuration/freshness.py
+++ b/src/bulrushflow/configuration/freshness.py
@@ -61,7 +61,7 @@
         self._hint = -1
         self._hint_at = now
 
-    def look(self, now: float) -> bool:
+    def detect_pause(self, now: float) -> bool:
         """Note the time; return whether a pause was found, which begins a check."""
         gap_s = now - self._looked_at
         self._looked_at = now
@@ -80,12 +80,14 @@
         self._heard_by_peer.clear()
         self._every_offset_by_peer.clear()
 
-    def heard_log(self, generation: int, last_offset: int) -> None:
+    def record_log_offset(self, generation: int, last_offset: int) -> None:
         """Note the highest offset on the log."""
         if generation == self.generation:
             self._log_offset = last_offset
 
-    def heard_peer(self, generation: int, peer: Peer, offset: int, reads_log: bool = False) -> None:
+    def record_fresh_peer(
+        self, generation: int, peer: Peer, offset: int, reads_log: bool = False
+    ) -> None:
         """Note the version of a peer that is fresh itself.
 
         :param reads_log: whether the peer's last read of the log succeeded.
@@ -98,7 +100,9 @@
         if reads_log:
             self._reader_offset = offset
 
-    def heard_unready(self, generation: int, peer: Peer, offset: int, was_fresh: bool) -> None:
+    def record_checking_peer(
+        self, generation: int, peer: Peer, offset: int, was_fresh: bool
+    ) -> None:
         """Note the version of a peer that is in a check itself.
 
         :param was_fresh: whether the peer, or one it heard, has ever ended a check.
@@ -107,13 +111,13 @@
             self._every_offset_by_peer[peer] = offset
             self.was_fresh = self.was_fresh or was_fresh
 
-    def heard_of(self, offset: int, now: float) -> None:
+    def record_advertised_offset(self, offset: int, now: float) -> None:
         """Note a version that some node holds, on hearsay."""
         if offset >= self._hint or now - self._hint_at > HINT_TTL_S:
             self._hint = offset
             self._hint_at = now
 
-    def decide(self, held: int, own: Peer, others: t.Collection[Peer], now: float) -> bool:
+    def evaluate(self, held: int, own: Peer, others: t.Collection[Peer], now: float) -> bool:
         """End the check if enough was heard and the version held is the highest of it.
 
         :param others: the nodes that are believed to be alive.
--- a/src/bulrushflow/configuration/model.py
+++ b/src/bulrushflow/configuration/model.py
@@ -44,8 +44,8 @@
     """What the log says of a move; all but ``active`` are final."""
 
     ACTIVE = "active"
-    DONE = "done"
-    TAKEN_BACK = "taken back"
+    COMPLETED = "done"
+    ROLLED_BACK = "taken back"
     WITHDRAWN = "withdrawn"
 
 
@@ -112,14 +112,14 @@
     verdicts_by_publish_id: dict[str, Verdict] = {}
     newest_snapshot: SnapshotMark = SnapshotMark()
 
-    def active_move(self, service: str) -> Move | None:
+    def active_rollout(self, service: str) -> Move | None:
         """Return the service's move that has no final record, if any."""
         for move in self.moves_by_id.values():
             if move.service == service and move.status is MoveStatus.ACTIVE:
                 return move
         return None
 
-    def active_moves(self) -> list[Move]:
+    def active_rollouts(self) -> list[Move]:
         """Return all moves that have no final record."""
         return [m for m in self.moves_by_id.values() if m.status is MoveStatus.ACTIVE]
 
--- a/src/bulrushflow/configuration/move_rules.py
+++ b/src/bulrushflow/configuration/move_rules.py
@@ -29,7 +29,7 @@
     service = configuration.services_by_name.get(record.service)
     if service is None:
         return Err(f"unknown service {record.service!r}")
-    active = configuration.active_move(record.service)
+    active = configuration.active_rollout(record.service)
     if active:
         return Err(
             f"service {record.service!r} has the active move {active.move_id!r}, stated at offset "
@@ -116,7 +116,7 @@
             pass
     finished = msgspec.structs.replace(
         move,
-        status=MoveStatus.TAKEN_BACK if record.taken_back else MoveStatus.DONE,
+        status=MoveStatus.ROLLED_BACK if record.taken_back else MoveStatus.COMPLETED,
         finished_at_ms=at_ms,
         finished_offset=offset,
         reason=record.reason,
--- a/src/bulrushflow/configuration/rules.py
+++ b/src/bulrushflow/configuration/rules.py
@@ -23,7 +23,7 @@
         return Err(conflict)
     services = dict(configuration.services_by_name)
     for name, service in record.services.items():
-        move = configuration.active_move(name)
+        move = configuration.active_rollout(name)
         if move:
             return Err(
                 f"service {name!r} has an active move: {move.move_id!r}, stated at offset "
--- a/src/bulrushflow/configuration/store.py
+++ b/src/bulrushflow/configuration/store.py
@@ -109,7 +109,7 @@
             self._packed = (self.current.offset, pack(self.current))
         return self._packed[1]
 
-    def since(self, from_offset: int) -> list[LogRecord] | None:
+    def records_from(self, from_offset: int) -> list[LogRecord] | None:
         """Return a page of held records from an offset on; ``None`` when some are not held."""
         if from_offset > self.current.offset:
             return []
--- a/src/bulrushflow/membership/detection.py
+++ b/src/bulrushflow/membership/detection.py
@@ -37,15 +37,15 @@
         """Factor for timeouts, from 1 to 1 + :data:`MAX_DOUBT`."""
         return 1 + self._doubt
 
-    def succeed(self) -> None:
+    def record_ack(self) -> None:
         """Note a probe that was acknowledged in time."""
         self._doubt = max(0, self._doubt - 1)
 
-    def fail(self) -> None:
+    def record_silence(self) -> None:
         """Note a probe in whose time nobody was heard."""
         self._doubt = min(MAX_DOUBT, self._doubt + 1)
 
-    def stall(self) -> None:
+    def record_pause(self) -> None:
         """Note that this process stood still."""
         self._doubt = MAX_DOUBT
 
@@ -81,7 +81,7 @@
         return None
 
     def _draw_far(self, table: MemberTable) -> Member | None:
-        others = table.others()
+        others = table.live_peers()
         own_data_centre = table.own.data_centre
         for _ in range(CROSS_DRAWS if others else 0):
             member = self._rng.choice(others)
--- a/src/bulrushflow/membership/members.py
+++ b/src/bulrushflow/membership/members.py
@@ -75,7 +75,7 @@
         return self.status <= Status.SUSPECT
 
     @property
-    def is_certain(self) -> bool:
+    def is_self_reported(self) -> bool:
         """Tell whether the node itself said so: that it lives or that it left."""
         return self.status in (Status.ALIVE, Status.LEFT)
 
--- a/src/bulrushflow/membership/news.py
+++ b/src/bulrushflow/membership/news.py
@@ -53,13 +53,13 @@
         if not keys:
             del self._keys_by_rank[rank]
 
-    def drop(self, lowest: int) -> None:
+    def discard_from(self, lowest: int) -> None:
         """Drop all items whose priority comes at or after ``lowest``."""
         for key, (priority, _) in list(self._rank_by_key.items()):
             if priority >= lowest:
                 self.discard(key)
 
-    def note_known(self, limit: int, last: int) -> None:
+    def count_as_sent(self, limit: int, last: int) -> None:
         """Count the items up to a priority as passed on once more.
 
         For a receiver that is known to hold them already.
@@ -73,7 +73,7 @@
                 if count + 1 < limit:
                     self._put(key, (priority, count + 1))
 
-    def take(
+    def next_batch(
         self,
         budget_bytes: int,
         size: t.Callable[[K], int],
--- a/src/bulrushflow/membership/table.py
+++ b/src/bulrushflow/membership/table.py
@@ -75,25 +75,25 @@
         self._put(own)
         return own
 
-    def merge(self, claim: Member, now: float) -> bool:
+    def merge(self, update: Member, now: float) -> bool:
         """Take in a claim about a member; return whether it changed the table.
 
         A claim that this node itself is not alive is refuted with a higher incarnation.
         """
-        if claim.node_id == self.own_id:
-            return self._refute(claim, now)
-        held = self.by_id.get(claim.node_id)
+        if update.node_id == self.own_id:
+            return self._refute(update, now)
+        held = self.by_id.get(update.node_id)
         if held is None:
-            return self._add(claim, now)
-        if claim.precedence <= held.precedence:
+            return self._add(update, now)
+        if update.precedence <= held.precedence:
             return False
-        if held.is_live and claim.is_live and claim.endpoint != held.endpoint:
-            self._count_conflict(claim.node_id)
-        self._put(claim)
-        self._changed_at[claim.node_id] = now
+        if held.is_live and update.is_live and update.endpoint != held.endpoint:
+            self._count_conflict(update.node_id)
+        self._put(update)
+        self._changed_at[update.node_id] = now
         return True
 
-    def mark(self, node_id: str, status: Status, now: float) -> Member | None:
+    def raise_status(self, node_id: str, status: Status, now: float) -> Member | None:
         """Raise a member's status at its present incarnation; ``None`` when nothing changed."""
         held = self.by_id.get(node_id)
         if held is None or held.status >= status:
@@ -101,11 +101,11 @@
         claim = replace(held, status=status)
         return claim if self.merge(claim, now) else None
 
-    def unchanged_since(self, node_id: str) -> float:
+    def changed_at(self, node_id: str) -> float:
         """Return when the member's entry last changed, in seconds of the clock given."""
         return self._changed_at.get(node_id, 0.0)
 
-    def restart_suspicion(self, now: float) -> None:
+    def restart_suspicion_timeouts(self, now: float) -> None:
         """Give every suspected member its whole time again."""
         for member in self.suspects():
             self._changed_at[member.node_id] = now
@@ -116,30 +116,30 @@
         To be called every few seconds.
         """
         gone = [m for m in self.by_id.values() if not m.is_live and m.node_id != self.own_id]
-        gone.sort(key=lambda m: self.unchanged_since(m.node_id))
+        gone.sort(key=lambda m: self.changed_at(m.node_id))
         excess = len(gone) - MAX_DEAD
         for i, member in enumerate(gone):
             limit_s = REMEMBER_LEFT_S if member.status is Status.LEFT else REMEMBER_DEAD_S
-            if i < excess or now - self.unchanged_since(member.node_id) >= limit_s:
+            if i < excess or now - self.changed_at(member.node_id) >= limit_s:
                 self.tombstones.add(member.node_id, member.incarnation, now)
-                self.forget(member.node_id)
+                self.remove(member.node_id)
         self.tombstones.expire(now)
         if now - self._conflicts_since >= CONFLICTS_S:
             self._conflicts_since = now
             self.conflicts_by_id.clear()
 
-    def forget(self, node_id: str) -> None:
+    def remove(self, node_id: str) -> None:
         """Drop a member."""
         held = self.by_id.pop(node_id, None)
         self._changed_at.pop(node_id, None)
         self._reindex(held, None)
 
-    def alive(self) -> list[Member]:
+    def live_members(self) -> list[Member]:
         """Return the members that may be talked to: alive or only suspected."""
         own = [self.own] if self.own.is_live else []
-        return self._cached("alive", "", lambda: [*own, *self.others()])
+        return self._cached("alive", "", lambda: [*own, *self.live_peers()])
 
-    def others(self) -> list[Member]:
+    def live_peers(self) -> list[Member]:
         """Return :meth:`alive` without this node."""
         alive, suspects = self._others(Status.ALIVE), self._others(Status.SUSPECT)
         return self._cached("others", "", lambda: [*alive.values(), *suspects.values()])
@@ -188,7 +188,7 @@
         """Return the buckets in which another table differs from this one."""
         return self._digests.differing(packed)
 
-    def overrules(self, node_id: str, incarnation: int, endpoint: Endpoint) -> Member | None:
+    def update_to_refute(self, node_id: str, incarnation: int, endpoint: Endpoint) -> Member | None:
         """Return what a node at ``incarnation`` has to refute to be taken for alive.
 
         The answer is meant for that node alone, since a tombstone no longer holds the whole entry.
--- a/src/bulrushflow/moves/controller.py
+++ b/src/bulrushflow/moves/controller.py
@@ -40,7 +40,7 @@
         "_new_calls",
         "_times",
         "_to_version",
-        "verdict",
+        "latest_result",
     )
 
     def __init__(
@@ -57,23 +57,23 @@
         self._judge = Judge(from_version, to_version, now_s)
         self._times = times
         self._calls_per_s = 0.0
-        self.verdict = Verdict(Judgement.INSUFFICIENT, "too few calls", "0 calls")
+        self.latest_result = Verdict(Judgement.INSUFFICIENT, "too few calls", "0 calls")
 
-    def observe(
+    def update_analysis(
         self, totals: dict[VersionRoute, RouteCounts], share_permille: int, now_s: float
     ) -> Verdict:
         """Judge the newest totals.
 
         :param now_s: this node's monotonic clock.
         """
-        self.verdict = self._judge.judge(totals, share_permille, now_s)
+        self.latest_result = self._judge.update(totals, share_permille, now_s)
         self._calls_per_s = self._judge.calls_per_s(totals, now_s)
         self._new_calls = sum(
             counts.calls for (version, _), counts in totals.items() if version == self._to_version
         )
-        return self.verdict
+        return self.latest_result
 
-    def pace(self, share_permille: int, now_ms: int, now_s: float) -> Pace:
+    def next_step(self, share_permille: int, now_ms: int, now_s: float) -> Pace:
         """Return the next step, for the node that drives the move.
 
         :param now_ms: epoch milliseconds, to compare with the deadline.
@@ -81,10 +81,10 @@
         plan = Plan(self._times.span_s, self._calls_per_s, self._exposure())
         elapsed_s = (now_ms - self._times.stated_at_ms) / 1000
         stage_s = now_s - self._judge.stage_started_s
-        return next_pace(plan, share_permille, self.verdict, elapsed_s, stage_s)
+        return next_pace(plan, share_permille, self.latest_result, elapsed_s, stage_s)
 
     def _exposure(self) -> Exposure:
         if self._limits is None:
             return Exposure()
-        limit = self._limits.limit(self._calls_per_s, self._times.span_s)
+        limit = self._limits.max_calls(self._calls_per_s, self._times.span_s)
         return Exposure(limit, self._new_calls)
--- a/src/bulrushflow/moves/evidence.py
+++ b/src/bulrushflow/moves/evidence.py
@@ -62,7 +62,7 @@
     A node that restarts begins again from nothing under a higher incarnation.
     """
 
-    move: int
+    rollout_id: int
     node_id: str
     sequence: int = 0
     counts_by_version_route: dict[VersionRoute, RouteCounts] = field(default_factory=dict)
@@ -92,16 +92,16 @@
     What a node counted before it left or restarted stays in the totals.
     """
 
-    __slots__ = ("_heard_at", "_own_source", "by_move")
+    __slots__ = ("_heard_at", "_own_source", "by_rollout")
 
     def __init__(self, own_id: str, incarnation: int = 0) -> None:
         self._own_source: Source = (own_id, incarnation)
         self._heard_at: dict[tuple[int, str], float] = {}
-        self.by_move: dict[int, dict[Source, Evidence]] = {}
+        self.by_rollout: dict[int, dict[Source, Evidence]] = {}
 
-    def own(self, move: int) -> Evidence:
+    def local(self, move: int) -> Evidence:
         """Return this process's own evidence, to be added to."""
-        by_source = self.by_move.setdefault(move, {})
+        by_source = self.by_rollout.setdefault(move, {})
         held = by_source.get(self._own_source)
         if held is None:
             node_id, incarnation = self._own_source
@@ -116,30 +116,30 @@
         """
         if evidence.source == self._own_source:
             return
-        key = (evidence.move, evidence.node_id)
+        key = (evidence.rollout_id, evidence.node_id)
         self._heard_at[key] = max(now_s, self._heard_at.get(key, now_s))
-        by_source = self.by_move.setdefault(evidence.move, {})
+        by_source = self.by_rollout.setdefault(evidence.rollout_id, {})
         held = by_source.get(evidence.source)
         if held is None or held.sequence < evidence.sequence:
             by_source[evidence.source] = evidence
 
-    def heard_at(self, move: int, node_id: str) -> float | None:
+    def last_report_at(self, move: int, node_id: str) -> float | None:
         """Return when a node last reported, on this node's monotonic clock."""
         return self._heard_at.get((move, node_id))
 
-    def total(self, move: int) -> dict[VersionRoute, RouteCounts]:
+    def totals(self, move: int) -> dict[VersionRoute, RouteCounts]:
         """Return the sum over all nodes."""
         totals: dict[VersionRoute, RouteCounts] = {}
-        for evidence in self.by_move.get(move, {}).values():
+        for evidence in self.by_rollout.get(move, {}).values():
             for key, counts in evidence.counts_by_version_route.items():
                 totals.setdefault(key, RouteCounts()).add(counts)
         return totals
 
-    def keep_only(self, moves: t.Collection[int]) -> None:
+    def retain(self, moves: t.Collection[int]) -> None:
         """Drop the evidence on finished moves."""
-        for move in list(self.by_move):
+        for move in list(self.by_rollout):
             if move not in moves:
-                del self.by_move[move]
+                del self.by_rollout[move]
         for key in list(self._heard_at):
             if key[0] not in moves:
                 del self._heard_at[key]
--- a/src/bulrushflow/moves/exposure.py
+++ b/src/bulrushflow/moves/exposure.py
@@ -18,7 +18,7 @@
     slack: float
     """Calls beyond that share."""
 
-    def limit(self, calls_per_s: float, span_s: float) -> float:
+    def max_calls(self, calls_per_s: float, span_s: float) -> float:
         """Return the calls that a move is planned with."""
         return SAFE_PART * (self.share * calls_per_s * span_s + self.slack)
 
--- a/src/bulrushflow/moves/pace.py
+++ b/src/bulrushflow/moves/pace.py
@@ -30,13 +30,13 @@
 class Pace:
     """The share that a move may be at, whether it ends here, and whether its deadline is at risk.
 
-    At most one of ``done`` and ``take_back`` is true.
+    At most one of ``completed`` and ``roll_back`` is true.
     """
 
     share_permille: int
     rule: str
-    done: bool = False
-    take_back: bool = False
+    completed: bool = False
+    roll_back: bool = False
     at_risk: bool = False
 
 
@@ -48,11 +48,11 @@
     :param now_s: seconds since the move was stated.
     :param stage_s: seconds for which the present share has been in force.
     """
-    if verdict.judgement is Judgement.FAULTY:
-        return Pace(share_permille, verdict.rule, take_back=True)
+    if verdict.outcome is Judgement.FAULTY:
+        return Pace(share_permille, verdict.rule, roll_back=True)
     if share_permille and _is_exposed(plan, share_permille, verdict):
         rule = f"{verdict.rule}, and no calls are left that it may get unproved"
-        return Pace(share_permille, rule, take_back=True)
+        return Pace(share_permille, rule, roll_back=True)
     if share_permille >= FULL_PERMILLE:
         return _bake(plan, share_permille, verdict, now_s, stage_s)
     if now_s >= plan.finish_by_s:
@@ -95,10 +95,10 @@
     due_s = plan.due_s(stages, plan.bake_start_s - now_s + stage_s)
     if stage_s < due_s and not _is_last_chance(plan, share_permille, stages[0], stage_s):
         return Pace(share_permille, "ahead of the schedule")
-    if verdict.judgement is Judgement.SUSPECT:
+    if verdict.outcome is Judgement.SUSPECT:
         return Pace(share_permille, f"held: {verdict.rule}", at_risk=stage_s > 2 * due_s)
     rule = "healthy and due by the schedule"
-    if verdict.judgement is Judgement.INSUFFICIENT:
+    if verdict.outcome is Judgement.INSUFFICIENT:
         overdue = stage_s >= (1 + PATIENCE) * due_s or now_s + SLACK_S > plan.latest_s
         if not overdue or verdict.stage_calls < FLOOR_CALLS:
             return Pace(share_permille, verdict.rule, at_risk=stage_s > 2 * due_s)
@@ -148,12 +148,12 @@
 
 def _bake(plan: Plan, share_permille: int, verdict: Verdict, now_s: float, stage_s: float) -> Pace:
     # A move that has baked is done even when the log takes its record only after the deadline.
-    if stage_s >= plan.bake_s and verdict.judgement is Judgement.HEALTHY:
-        return Pace(share_permille, "bake time at the last share is over", done=True)
+    if stage_s >= plan.bake_s and verdict.outcome is Judgement.HEALTHY:
+        return Pace(share_permille, "bake time at the last share is over", completed=True)
     end_s = plan.finish_by_s - plan.margin_s
     if now_s < end_s:
         rule = "bake time at the last share"
-        if verdict.judgement is Judgement.SUSPECT:
+        if verdict.outcome is Judgement.SUSPECT:
             rule = f"held: {verdict.rule}"
         return Pace(share_permille, rule)
     # The fewer the calls, the less of a sign of a fault is let pass.
@@ -162,7 +162,7 @@
     enough = stage_s >= MIN_BAKE_S and verdict.stage_calls >= FLOOR_CALLS
     if enough and verdict.strength < limit:
         rule = f"the deadline cut the bake time to {stage_s:.0f} s"
-        return Pace(share_permille, rule, done=True)
+        return Pace(share_permille, rule, completed=True)
     if now_s >= plan.finish_by_s:
         return _late(share_permille, verdict)
     return Pace(share_permille, verdict.rule, at_risk=True)
@@ -170,4 +170,4 @@
 
 def _late(share_permille: int, verdict: Verdict) -> Pace:
     rule = f"the deadline passed at {share_permille / 10:g}%: {verdict.rule}"
-    return Pace(share_permille, rule, take_back=True)
+    return Pace(share_permille, rule, roll_back=True)
--- a/src/bulrushflow/moves/shared.py
+++ b/src/bulrushflow/moves/shared.py
@@ -9,19 +9,19 @@
 
     offset: int
     share_permille: int = 0
-    taken_back: bool = False
+    rolled_back: bool = False
     reason: str = ""
     decided_by: str = ""
 
     def join(self, other: "SharedMove") -> "SharedMove":
         """Return the least state that includes both."""
-        taken_back = self.taken_back or other.taken_back
-        verdicts = [m for m in (self, other) if m.taken_back]
+        rolled_back = self.rolled_back or other.rolled_back
+        verdicts = [m for m in (self, other) if m.rolled_back]
         first = min(verdicts, key=lambda m: (m.reason, m.decided_by)) if verdicts else self
         return SharedMove(
             self.offset,
             max(self.share_permille, other.share_permille),
-            taken_back,
+            rolled_back,
             first.reason if verdicts else "",
             first.decided_by if verdicts else "",
         )
@@ -55,14 +55,14 @@
     def share_permille(self, offset: int) -> int:
         """Return the share of calls for the new version: 0 when unknown or taken back."""
         held = self.by_offset.get(offset)
-        if held is None or held.taken_back:
+        if held is None or held.rolled_back:
             return 0
         return held.share_permille
 
-    def is_taken_back(self, offset: int) -> bool:
+    def is_rolled_back(self, offset: int) -> bool:
         """Tell whether any node took the move back."""
         held = self.by_offset.get(offset)
-        return held is not None and held.taken_back
+        return held is not None and held.rolled_back
 
     def keep_active(self, offsets: frozenset[int], version: int) -> None:
         """Drop the moves that are final in configuration ``version``."""
--- a/src/bulrushflow/moves/verdict.py
+++ b/src/bulrushflow/moves/verdict.py
@@ -40,7 +40,7 @@
     share began.
     """
 
-    judgement: Judgement
+    outcome: Judgement
     rule: str
     evidence: str
     stage_calls: int = 0
@@ -74,7 +74,7 @@
         self._started_s = now_s
         self.stage_started_s = now_s
 
-    def judge(
+    def update(
         self, totals: dict[VersionRoute, RouteCounts], share_permille: int, now_s: float
     ) -> Verdict:
         """Take in the newest totals and return the verdict.
--- a/src/bulrushflow/moves/versions.py
+++ b/src/bulrushflow/moves/versions.py
@@ -17,17 +17,17 @@
         "_given_up_by_service",
         "_replaced_at",
         "_stable_by_service",
-        "active_move_by_service",
+        "active_rollout_by_service",
     )
 
     def __init__(self) -> None:
         # Asked for each call, so worked out once for each configuration.
-        self.active_move_by_service: dict[str, Move] = {}
+        self.active_rollout_by_service: dict[str, Move] = {}
         self._given_up_by_service: dict[str, str] = {}
         self._stable_by_service: dict[str, str] = {}
         self._replaced_at: dict[tuple[str, str], float] = {}
 
-    def follow(self, configuration: Configuration, now_s: float) -> None:
+    def update(self, configuration: Configuration, now_s: float) -> None:
         """Take in a new configuration.
 
         :param now_s: this node's monotonic clock.
@@ -43,14 +43,14 @@
         for name in list(self._stable_by_service):
             if name not in configuration.services_by_name:
                 del self._stable_by_service[name]
-        self.active_move_by_service = {m.service: m for m in configuration.active_moves()}
+        self.active_rollout_by_service = {m.service: m for m in configuration.active_rollouts()}
         self._given_up_by_service = _given_up_by_service(configuration)
 
     def is_forbidden(
         self,
         service: str,
         version: str,
-        is_taken_back: t.Callable[[int], bool],
+        is_rolled_back: t.Callable[[int], bool],
         now_s: float,
     ) -> bool:
         """Tell whether a version may get no new calls.
@@ -59,14 +59,14 @@
         short while, the version that was stable before may. A service that isn't known here is
         left to the check of routes.
 
-        :param is_taken_back: tells by a move's offset whether any node took it back.
+        :param is_rolled_back: tells by a move's offset whether any node took it back.
         """
         stable = self._stable_by_service.get(service)
         if stable is None or version == stable:
             return False
-        move = self.active_move_by_service.get(service)
+        move = self.active_rollout_by_service.get(service)
         if move is not None and move.to_version == version:
-            return is_taken_back(move.offset)
+            return is_rolled_back(move.offset)
         if self._given_up_by_service.get(service) == version:
             return True
         replaced_at = self._replaced_at.get((service, version))
@@ -85,5 +85,5 @@
     return {
         service: move.to_version
         for service, move in newest_by_service.items()
-        if move.status is not MoveStatus.DONE
+        if move.status is not MoveStatus.COMPLETED
     }
--- a/src/bulrushflow/moves/warmup.py
+++ b/src/bulrushflow/moves/warmup.py
@@ -18,7 +18,7 @@
         self._first_call_at: float | None = None
         self._calls = 0
 
-    def follow(self, version: str | None) -> None:
+    def set_version(self, version: str | None) -> None:
         """Note the version of the target that is ready now, ``None`` when there is none."""
         if version == self._version:
             return
@@ -26,7 +26,7 @@
         self._first_call_at = None
         self._calls = 0
 
-    def is_warming(self, now_s: float) -> bool:
+    def count_call(self, now_s: float) -> bool:
         """Count one call and tell whether it came during the warm-up.
 
         :param now_s: this node's monotonic clock.
--- a/src/bulrushflow/nodes/composing.py
+++ b/src/bulrushflow/nodes/composing.py
@@ -66,7 +66,7 @@
 
     def drop_doubts(self) -> None:
         """Stop passing on that members are dead or suspected."""
-        self._members.drop(Priority.SUSPECT)
+        self._members.discard_from(Priority.SUSPECT)
 
     def note_equal(self) -> None:
         """Note that another node's live members are the same as this one's.
@@ -74,8 +74,8 @@
         It knows then who lives and who leaves. Suspicions are not in the digest, and that a
         member is dead goes to all the same, since joiners may have fetched it alive.
         """
-        limit = transmissions(len(self._table.alive()))
-        self._members.note_known(limit, Priority.ALIVE)
+        limit = transmissions(len(self._table.live_members()))
+        self._members.count_as_sent(limit, Priority.ALIVE)
 
     def datagram(self, extra: t.Sequence[Member], told: Told = Told.ALL, **body: t.Any) -> bytes:
         """Encode a datagram: ``extra`` members, then the news to tell that still fits."""
@@ -85,9 +85,9 @@
         if told is Told.NOTHING:
             return messages.encode(messages.Datagram(gossip=self._gossip(extra, ()), **body))
         moves, moves_bytes = self._take_moves() if budget >= MOVES_BYTES else ([], 0)
-        limit = transmissions(len(self._table.alive()))
+        limit = transmissions(len(self._table.live_members()))
         only = Priority.SUSPECT if told is Told.SUSPICIONS else None
-        ids = self._members.take(budget - moves_bytes, self._member_size, limit, only)
+        ids = self._members.next_batch(budget - moves_bytes, self._member_size, limit, only)
         members = [*extra, *(self._table.by_id[i] for i in ids)]
         return messages.encode(messages.Datagram(gossip=self._gossip(members, moves), **body))
 
@@ -133,8 +133,8 @@
         self._observe_moves()
         if not self._seen_by_offset:
             return [], 0
-        limit = transmissions(len(self._table.alive()))
-        offsets = self._moves.take(
+        limit = transmissions(len(self._table.live_members()))
+        offsets = self._moves.next_batch(
             MOVES_BYTES, lambda o: min(MOVES_BYTES, self._move_size(o)), limit
         )
         used = sum(self._move_size(o) for o in offsets)
--- a/src/bulrushflow/nodes/detector.py
+++ b/src/bulrushflow/nodes/detector.py
@@ -82,7 +82,7 @@
         began = self._timers.now()
         timeout_s = self._settings.ack_timeout_s * self._health.multiplier
         if await self._pinger.ping(member, timeout_s):
-            self._health.succeed()
+            self._health.record_ack()
             self._note_answer(began)
             return
         if await self._pinger.ping_indirectly(member, 2 * timeout_s):
@@ -92,7 +92,7 @@
             return
         if not self._pinger.heard_since(began):
             # With others heard meanwhile, it is the probed one that is at fault.
-            self._health.fail()
+            self._health.record_silence()
         if self._is_refreshed():
             self._raise(member.node_id, Status.SUSPECT)
 
@@ -102,9 +102,9 @@
         if not self._is_refreshed():
             return
         now = self._timers.now()
-        limit_s = suspicion_s(self._settings.suspicion_s, len(self._table.alive()))
+        limit_s = suspicion_s(self._settings.suspicion_s, len(self._table.live_members()))
         for member in self._table.suspects():
-            if now - self._table.unchanged_since(member.node_id) >= limit_s:
+            if now - self._table.changed_at(member.node_id) >= limit_s:
                 self._raise(member.node_id, Status.DEAD)
 
     async def reconnect(self) -> None:
@@ -122,15 +122,15 @@
             logger.info("member {} was held dead and answers", member.node_id)
 
     def _raise(self, node_id: str, status: Status) -> None:
-        claim = self._table.mark(node_id, status, self._timers.now())
+        claim = self._table.raise_status(node_id, status, self._timers.now())
         if claim is not None:
             logger.info("member {} is held {}", node_id, status.name.lower())
             self._on_changed(claim)
 
     def _take_stall(self, seconds: float) -> None:
         self._stalled_at = self._timers.now()
-        self._health.stall()
-        self._table.restart_suspicion(self._stalled_at)
+        self._health.record_pause()
+        self._table.restart_suspicion_timeouts(self._stalled_at)
         self._pinger.refresh()
 
     def _note_answer(self, began: float) -> None:
--- a/src/bulrushflow/nodes/driving.py
+++ b/src/bulrushflow/nodes/driving.py
@@ -109,16 +109,16 @@
 
     def observe(self, call: Call, failed: bool, seconds: float) -> None:
         """Count a call that this node's own target finished."""
-        warming = self._warm_up.is_warming(self._clock.monotonic())
-        move = self._gate.active_move_by_service.get(call.service)
+        warming = self._warm_up.count_call(self._clock.monotonic())
+        move = self._gate.active_rollout_by_service.get(call.service)
         if move is not None:
-            own = self.book.own(move.offset)
+            own = self.book.local(move.offset)
             own.observe(call.version, call.route, failed, seconds, warming)
 
     def is_forbidden(self, service: str, version: str) -> bool:
         """Tell whether a version may get no new calls on this node's target."""
         return self._gate.is_forbidden(
-            service, version, self._shared_moves.is_taken_back, self._clock.monotonic()
+            service, version, self._shared_moves.is_rolled_back, self._clock.monotonic()
         )
 
     async def tick(self) -> None:
@@ -127,7 +127,7 @@
         self._freshness.tick(now_s)
         self._follow_own_target()
         target = self._table.own.target
-        move = self._gate.active_move_by_service.get(target.service) if target else None
+        move = self._gate.active_rollout_by_service.get(target.service) if target else None
         if move is None:
             return
         group = self._group(move)
@@ -143,18 +143,18 @@
     def _follow_own_target(self) -> None:
         target = self._table.own.target
         ready = target is not None and target.state is TargetState.READY
-        self._warm_up.follow(target.version if target is not None and ready else None)
+        self._warm_up.set_version(target.version if target is not None and ready else None)
 
     def possible_writers(self) -> int:
         """Return how many live nodes may have records of a move to append now."""
-        moving = self._gate.active_move_by_service.keys()
-        targets = (member.target for member in self._table.alive())
+        moving = self._gate.active_rollout_by_service.keys()
+        targets = (member.target for member in self._table.live_members())
         return sum(1 for target in targets if target is not None and target.service in moving)
 
     def _group(self, move: Move) -> list[Member]:
         return [
             m
-            for m in self._table.alive()
+            for m in self._table.live_members()
             if m.target is not None and m.target.service == move.service
         ]
 
@@ -169,23 +169,23 @@
     def _decide(self, move: Move, group: list[Member], now_s: float) -> None:
         controller = self._controller(move, now_s)
         share = self._shared_moves.share_permille(move.offset)
-        verdict = controller.observe(self.book.total(move.offset), share, now_s)
+        verdict = controller.update_analysis(self.book.totals(move.offset), share, now_s)
         ranked = [m.node_id for m in rank(group, f"move/{move.offset}")]
-        if self._shared_moves.is_taken_back(move.offset):
+        if self._shared_moves.is_rolled_back(move.offset):
             self._record_taken_back(move, ranked, now_s)
             return
-        if verdict.judgement is Judgement.FAULTY:
+        if verdict.outcome is Judgement.FAULTY:
             self._take_back(move, f"{verdict.rule}: {verdict.evidence}")
             self._record_taken_back(move, ranked, now_s)
             return
         if ranked[0] != self._table.own_id:
             return
-        pace = controller.pace(share, self._clock.wall_ms(), now_s)
+        pace = controller.next_step(share, self._clock.wall_ms(), now_s)
         self._act(move, share, self._checked(move, share, pace, now_s), verdict, now_s)
 
     def _checked(self, move: Move, share: int, pace: Pace, now_s: float) -> Pace:
         """Hold a step that lacks a ready target or fresh evidence; a take-back never waits."""
-        if pace.take_back or (not pace.done and pace.share_permille <= share):
+        if pace.roll_back or (not pace.completed and pace.share_permille <= share):
             return pace
         if not self._table.ready_targets(move.service, move.to_version):
             return Pace(share, f"no ready target of version {move.to_version}", at_risk=True)
@@ -198,12 +198,12 @@
         return pace
 
     def _act(self, move: Move, share: int, pace: Pace, verdict: Verdict, now_s: float) -> None:
-        if pace.take_back:
+        if pace.roll_back:
             self._take_back(move, f"{pace.rule} ({verdict.evidence})")
             return
         if pace.at_risk:
             self._records.at_risk(move, share, pace.rule, verdict.evidence)
-        if pace.done:
+        if pace.completed:
             self._done_decided_at[move.offset] = now_s
             self._records.done(
                 move, pace.rule, verdict.evidence, lambda: self._is_done_current(move.offset)
@@ -217,7 +217,7 @@
 
     def _is_done_current(self, offset: int) -> bool:
         # With the log down, a fault may show after the decision; a stale one must not win then.
-        if self._shared_moves.is_taken_back(offset):
+        if self._shared_moves.is_rolled_back(offset):
             return False
         decided_at = self._done_decided_at.get(offset)
         return decided_at is not None and self._clock.monotonic() - decided_at < DONE_VALID_S
@@ -242,11 +242,11 @@
         self._records.taken_back(move, self._shared_moves.by_offset[move.offset])
 
     def _follow(self, configuration: Configuration) -> None:
-        active = frozenset(move.offset for move in configuration.active_moves())
-        self._gate.follow(configuration, self._clock.monotonic())
+        active = frozenset(move.offset for move in configuration.active_rollouts())
+        self._gate.update(configuration, self._clock.monotonic())
         self._warn_of_lost_take_backs(configuration)
         self._shared_moves.keep_active(active, configuration.offset)
-        self.book.keep_only(active)
+        self.book.retain(active)
         self.reporting.keep_only(active)
         held: tuple[dict[int, t.Any], ...] = (
             self._controllers_by_move,
@@ -263,7 +263,7 @@
             service = configuration.services_by_name.get(move.service)
             if service is None or service.version != move.to_version:
                 continue
-            if self._shared_moves.is_taken_back(move.offset):
+            if self._shared_moves.is_rolled_back(move.offset):
                 logger.error(
                     "move {} was done on the log before its take-back; move {} back to {}",
                     move.move_id,
--- a/src/bulrushflow/nodes/evidence_freshness.py
+++ b/src/bulrushflow/nodes/evidence_freshness.py
@@ -49,7 +49,7 @@
     def _is_heard(self, move: Move, node_id: str, now_s: float) -> bool:
         if node_id == self._table.own_id:
             return True
-        heard_at = self._book.heard_at(move.offset, node_id)
+        heard_at = self._book.last_report_at(move.offset, node_id)
         if heard_at is None or heard_at <= self._trusted_after:
             return False
         return now_s - heard_at <= FRESH_S
--- a/src/bulrushflow/nodes/exchange.py
+++ b/src/bulrushflow/nodes/exchange.py
@@ -99,7 +99,7 @@
         members = self._members_after(after)
         size = sum(codec.member_size(m) for m in members)
         if not self._budget.take(size, asyncio.get_running_loop().time()):
-            others = self._table.others()
+            others = self._table.live_peers()
             referrals = self._rng.sample(others, min(REFERRALS, len(others)))
             return self._page([*overruling, *referrals], not after, busy=True)
         next_after = members[-1].node_id if len(members) == PAGE_MEMBERS else None
@@ -113,7 +113,7 @@
         """Return what the asker has to refute, found through its own entry."""
         for message in gossip.members or ():
             if message.node_id == gossip.sender:
-                held = self._table.overrules(
+                held = self._table.update_to_refute(
                     message.node_id, message.incarnation, (message.address, message.peer_port)
                 )
                 return [held] if held is not None else []
@@ -121,7 +121,7 @@
 
     def _members_after(self, after: str) -> list[Member]:
         if self._sorted_version != self._table.version:
-            self._sorted_ids = sorted(m.node_id for m in self._table.alive())
+            self._sorted_ids = sorted(m.node_id for m in self._table.live_members())
             self._sorted_version = self._table.version
         start = bisect.bisect_right(self._sorted_ids, after)
         ids = self._sorted_ids[start : start + PAGE_MEMBERS]
@@ -163,7 +163,7 @@
             page = await self._fetch(source, after)
 
     def _another_source(self, source: Endpoint) -> Endpoint:
-        others = [m.endpoint for m in self._table.others() if m.endpoint != source]
+        others = [m.endpoint for m in self._table.live_peers() if m.endpoint != source]
         return self._rng.choice(others) if others else source
 
     async def _fetch(self, endpoint: Endpoint, after: str) -> t.Any:
--- a/src/bulrushflow/nodes/gossip.py
+++ b/src/bulrushflow/nodes/gossip.py
@@ -196,7 +196,7 @@
         """Return what the sender of a datagram has to refute to be taken for alive."""
         if gossip.incarnation is None or gossip.sender == self.table.own_id:
             return ()
-        held = self.table.overrules(gossip.sender, gossip.incarnation, sender)
+        held = self.table.update_to_refute(gossip.sender, gossip.incarnation, sender)
         if held is None:
             return ()
         left = held.status is Status.LEFT and held.incarnation == gossip.incarnation
@@ -219,7 +219,7 @@
             except ValueError as exc:
                 logger.warning("member with an unknown state passed over: {}", exc)
                 continue
-            if reconnected and not claim.is_certain and claim.node_id != self.table.own_id:
+            if reconnected and not claim.is_self_reported and claim.node_id != self.table.own_id:
                 continue
             if self._merge_member(claim, sender, is_news, now):
                 changed = True
@@ -301,7 +301,7 @@
         self.spread_now()
 
     def _draw(self, count: int, without: str = "") -> list[Member]:
-        others = self.table.others()
+        others = self.table.live_peers()
         drawn = self._rng.sample(others, min(count + 1, len(others)))
         return [m for m in drawn if m.node_id != without][:count]
 
--- a/src/bulrushflow/nodes/introductions.py
+++ b/src/bulrushflow/nodes/introductions.py
@@ -140,7 +140,7 @@
         return wait_s * self._rng.uniform(0.8, 1.2)
 
     def _is_alone(self) -> bool:
-        return not self._table.others()
+        return not self._table.live_peers()
 
     def _is_introducer(self) -> bool:
         own = self._table.own
--- a/src/bulrushflow/nodes/pulling.py
+++ b/src/bulrushflow/nodes/pulling.py
@@ -142,7 +142,7 @@
     def pick(self, near: bool) -> Member | None:
         """Return a random other node, inside this data centre or outside of it if there is one."""
         own = self._table.own
-        others = self._table.others()
+        others = self._table.live_peers()
         wanted = [m for m in others if (m.data_centre == own.data_centre) is near]
         candidates = wanted or others
         return self._rng.choice(candidates) if candidates else None
@@ -210,7 +210,7 @@
         if self._tokens <= 0:
             self.refused += 1
             return {"records": messages.Records(records=[], busy=True, **own)}
-        records = self._store.since(request.from_offset)
+        records = self._store.records_from(request.from_offset)
         if records is None:
             packed = self._store.packed()
             self._spend(len(packed))
--- a/src/bulrushflow/nodes/reporting.py
+++ b/src/bulrushflow/nodes/reporting.py
@@ -74,7 +74,7 @@
 
     def report(self, move: Move, group: list[Member], now_s: float) -> None:
         """Send the evidence on a move if it is due; doesn't wait for any receiver."""
-        own = self._book.own(move.offset)
+        own = self._book.local(move.offset)
         sequence, sent_at = self._sent_by_move.get(move.offset, (-1, float("-inf")))
         if now_s - sent_at < REPORT_S:
             return
--- a/src/bulrushflow/nodes/spreading.py
+++ b/src/bulrushflow/nodes/spreading.py
@@ -138,7 +138,7 @@
 
     def peer_ahead(self, endpoint: Endpoint, offset: int) -> None:
         """Pull what is missing from a node that is known to hold a later version."""
-        self._freshness.heard_of(offset, self._now())
+        self._freshness.record_advertised_offset(offset, self._now())
         if self._puller.want(endpoint, offset):
             self.add_future(self._puller.follow())
 
@@ -160,7 +160,7 @@
 
     def take_page(self, page: LogPage, generation: int) -> None:
         """See :meth:`LogReaderOwner.take_page`."""
-        self._freshness.heard_log(generation, page.next_offset - 1)
+        self._freshness.record_log_offset(generation, page.next_offset - 1)
         self._decide()
         if page.records:
             self._push_own(page.records)
@@ -188,7 +188,7 @@
 
     def _near(self) -> list[Member]:
         own = self._table.own
-        return [m for m in self._table.alive() if m.data_centre == own.data_centre]
+        return [m for m in self._table.live_members() if m.data_centre == own.data_centre]
 
     async def _tick(self) -> None:
         self._look_for_pause()
@@ -198,7 +198,7 @@
             self.add_future(self._ask())
 
     def _look_for_pause(self) -> None:
-        if self._freshness.look(self._now()):
+        if self._freshness.detect_pause(self._now()):
             logger.warning("the process stood still; checking for later versions")
             self._ask_at = 0.0
             self._ask_wait_s = FIRST_ASK_S
@@ -222,7 +222,7 @@
 
     def _waits_for_peers(self) -> bool:
         """Tell whether peers come before the log, which may have lost records that they hold."""
-        if not self._table.others():
+        if not self._table.live_peers():
             return self._now() - self._started_at < ALONE_GRACE_S
         return self._asked_generation != self._freshness.generation
 
@@ -230,9 +230,9 @@
         if self._freshness.is_fresh:
             return
         own = self._table.own
-        others = {Peer(m.node_id, m.data_centre) for m in self._table.others()}
+        others = {Peer(m.node_id, m.data_centre) for m in self._table.live_peers()}
         held = self.store.current.offset
-        if self._freshness.decide(held, Peer(own.node_id, own.data_centre), others, self._now()):
+        if self._freshness.evaluate(held, Peer(own.node_id, own.data_centre), others, self._now()):
             logger.info("version {} is current", held)
             self._ask_wait_s = FIRST_ASK_S
 
@@ -256,27 +256,27 @@
                     await self._puller.ask(member.endpoint)
         finally:
             self._asking = False
-        if self._table.others():
+        if self._table.live_peers():
             self._asked_generation = generation
         self._ask_wait_s = min(MAX_ASK_S, 2 * self._ask_wait_s) if checking else REMOTE_POLL_S
         self._ask_at = self._now() + self._rng.uniform(0, self._ask_wait_s)
 
     def _take_answer(self, answer: PullAnswer) -> None:
-        member = next((m for m in self._table.others() if m.endpoint == answer.endpoint), None)
+        member = next((m for m in self._table.live_peers() if m.endpoint == answer.endpoint), None)
         if member is not None:
             self._note_answer(Peer(member.node_id, member.data_centre), answer)
         self._decide()
         self._count_bytes("received", answer.size)
         if answer.count > 0 and self.is_reader():
             first_new = self.store.current.offset - answer.count + 1
-            self._push_own(self.store.since(first_new) or ())
+            self._push_own(self.store.records_from(first_new) or ())
 
     def _note_answer(self, peer: Peer, answer: PullAnswer) -> None:
         generation = answer.generation
         if answer.fresh:
-            self._freshness.heard_peer(generation, peer, answer.offset, answer.reads_log)
+            self._freshness.record_fresh_peer(generation, peer, answer.offset, answer.reads_log)
         else:
-            self._freshness.heard_unready(generation, peer, answer.offset, answer.was_fresh)
+            self._freshness.record_checking_peer(generation, peer, answer.offset, answer.was_fresh)
 
     def _push_own(self, records: t.Sequence[LogRecord]) -> None:
         """Start this node's tree: the first reader sends records, the other announces them."""
--- a/src/bulrushflow/operators/endpoint.py
+++ b/src/bulrushflow/operators/endpoint.py
@@ -105,14 +105,14 @@
                 return _bad_request(reason)
             case Ok(from_offset):
                 pass
-        held = self._store.since(from_offset)
+        held = self._store.records_from(from_offset)
         if held is None:
             return web.json_response({"error": "not held any more"}, status=410)
         return _json(held)
 
     async def unrecorded(self, _: web.Request) -> web.Response:
         """Answer with :class:`UnrecordedAccount`."""
-        accounts = [self._account(m) for m in self._store.current.active_moves()]
+        accounts = [self._account(m) for m in self._store.current.active_rollouts()]
         return _json(
             UnrecordedAccount(
                 self._table.own_id,
@@ -151,7 +151,7 @@
             async with gate:
                 return await self._gossip.probe(member)
 
-        others = self._table.others()
+        others = self._table.live_peers()
         held = await asyncio.gather(*(probe(m) for m in others))
         by_id = dict(zip((m.node_id for m in others), held, strict=True))
         by_id[self._table.own_id] = self._store.current.offset
@@ -183,7 +183,7 @@
         return MoveAccount(
             move,
             _share(move, self._shared_moves),
-            shared.taken_back if shared else move.status is MoveStatus.TAKEN_BACK,
+            shared.rolled_back if shared else move.status is MoveStatus.ROLLED_BACK,
             shared.reason if shared else "",
             shared.decided_by if shared else move.decided_by,
             [u for u in unrecorded if u.startswith(prefix)],
@@ -193,7 +193,7 @@
 def _share(move: Move, shared_moves: SharedMoves) -> int:
     if move.status is MoveStatus.ACTIVE:
         return shared_moves.share_permille(move.offset)
-    return 1000 if move.status is MoveStatus.DONE else 0
+    return 1000 if move.status is MoveStatus.COMPLETED else 0
 
 
 def _member_status(member: Member) -> MemberStatus:
--- a/src/bulrushflow/platform/adapter.py
+++ b/src/bulrushflow/platform/adapter.py
@@ -40,25 +40,25 @@
     def _configure(self, record: KeyedRecord) -> None:
         match documents.decode_configuration(record.value):
             case Ok(routing):
-                self._orders.configure(routing)
+                self._orders.apply_configuration(routing)
             case Err(reason):
-                self._orders.unreadable(record.key, reason)
+                self._orders.report_unreadable(record.key, reason)
 
     def _order(self, record: KeyedRecord) -> None:
         if not record.value:
-            self._orders.withdraw_move(record.key.removeprefix(documents.MOVE_KEY_PREFIX))
+            self._orders.withdraw_rollout(record.key.removeprefix(documents.MOVE_KEY_PREFIX))
             return
         match documents.decode_order(record.key, record.value, record.offset):
             case Ok(order):
-                self._orders.order_move(order)
+                self._orders.order_rollout(order)
             case Err(reason):
-                self._orders.unreadable(record.key, reason)
+                self._orders.report_unreadable(record.key, reason)
 
 
 class PlatformAdapter:
     """Implements the sidecar's adapter for this platform."""
 
-    names = HEADER_NAMES
+    header_names = HEADER_NAMES
     topics = Topics(orders="keyed.op", statuses="keyed.status", nodes="keyed.nodes")
     paths = AnnouncementPaths("/-/instances/{target_id}", "/-/ready")
 
@@ -88,6 +88,6 @@
             return Err("its key is no move's")
         return documents.decode_status(record.value)
 
-    def order_follower(self, orders: OrderSink) -> OrderFollower:
+    def operator_record_handler(self, orders: OrderSink) -> OrderFollower:
         """See :meth:`Adapter.order_follower`."""
         return OrderFollower(orders)
--- a/src/bulrushflow/platform/documents.py
+++ b/src/bulrushflow/platform/documents.py
@@ -27,8 +27,8 @@
 """Whether calls of a kind of route may run more than once."""
 PHASES = {
     MovePhase.RUNNING: "running",
-    MovePhase.DONE: "completed",
-    MovePhase.TAKEN_BACK: "rolled_back",
+    MovePhase.COMPLETED: "completed",
+    MovePhase.ROLLED_BACK: "rolled_back",
 }
 STATES = {"ready": TargetState.READY, "draining": TargetState.DRAINING}
 
@@ -223,7 +223,7 @@
             services=tuple(parts),
             idempotent=KINDS[rule.kind],
             timeout_s=seconds(action.timeout),
-            target_latency_s=seconds(rule.targetLatency),
+            latency_objective_s=seconds(rule.targetLatency),
             max_attempts=action.maxAttempts,
             priority=rule.priority,
         )
--- a/src/bulrushflow/platform/store.py
+++ b/src/bulrushflow/platform/store.py
@@ -123,15 +123,15 @@
                 return Err(_refused(status))
 
     async def append(
-        self, topic: str, writes: t.Sequence[StoreWrite], as_of: int | None = None
+        self, topic: str, writes: t.Sequence[StoreWrite], expected_end: int | None = None
     ) -> Result[int, StoreError]:
         """Append records, all or none; return the offset of the first.
 
-        :param as_of: append only if the partition ends at this offset.
+        :param expected_end: append only if the partition ends at this offset.
         """
         query = {"topic": topic, "part": "0"}
-        if as_of is not None:
-            query["asOf"] = str(as_of)
+        if expected_end is not None:
+            query["asOf"] = str(expected_end)
         body = b"".join(_encode_record(write) for write in writes)
         match await self._call("POST", "/-/log-append", query, CALL_TIMEOUT_S, body):
             case Err(error):
--- a/src/bulrushflow/routing/limits.py
+++ b/src/bulrushflow/routing/limits.py
@@ -123,7 +123,7 @@
         self.used_bytes += size
         return True
 
-    def take(self, size: int) -> None:
+    def force_reserve(self, size: int) -> None:
         """Take ``size`` bytes that are held already, free or not."""
         self.used_bytes += size
 
--- a/src/bulrushflow/routing/model.py
+++ b/src/bulrushflow/routing/model.py
@@ -46,7 +46,7 @@
     attempt: int = 0
     priority: int = 0
     """0 is the most important."""
-    useful_until: float = 0.0
+    late_after: float = 0.0
     """When the answer loses worth, on the same clock as the deadline."""
 
     def for_attempt(self, version: str, retries: int) -> "Call":
@@ -68,7 +68,7 @@
             self.idempotent,
             self.attempt + retries,
             self.priority,
-            self.useful_until,
+            self.late_after,
         )
 
 
@@ -96,7 +96,7 @@
 
     outcome: Outcome
     reason: str
-    arrived: bool = False
+    reached_target: bool = False
     """Whether the call reached a target, which refused it."""
 
     def as_result(self) -> "CallResult":
@@ -107,12 +107,12 @@
 CallResult = Result[Answer, CallFailure]
 
 
-def not_run(reason: str, arrived: bool = False) -> CallResult:
+def not_run(reason: str, reached_target: bool = False) -> CallResult:
     """Return the outcome of a call that certainly did not run.
 
-    :param arrived: whether a target got the call and refused it.
+    :param reached_target: whether a target got the call and refused it.
     """
-    return CallFailure(Outcome.NOT_RUN, reason, arrived).as_result()
+    return CallFailure(Outcome.NOT_RUN, reason, reached_target).as_result()
 
 
 def unknown(reason: str) -> CallResult:
--- a/src/bulrushflow/routing/queues.py
+++ b/src/bulrushflow/routing/queues.py
@@ -39,7 +39,7 @@
     def __len__(self) -> int:
         return self._length
 
-    def wait_s(self, tenant: str, service_s: float, concurrency: int) -> float:
+    def estimated_wait_s(self, tenant: str, service_s: float, concurrency: int) -> float:
         """Estimate how long a new item of ``tenant`` waits for its slot.
 
         :param service_s: recent mean time that an item holds a slot.
@@ -49,7 +49,7 @@
         ahead = sum(min(len(queue), own + 1) for queue in self._by_tenant.values())
         return (ahead + 1) * service_s / max(1, concurrency)
 
-    def offer(self, item: T, tenant: str, deadline: float) -> T | None:
+    def push(self, item: T, tenant: str, deadline: float) -> T | None:
         """Add an item; return the one that gave way for it, itself perhaps."""
         key = self._key(tenant)
         evicted = None
@@ -66,7 +66,7 @@
         self._length += 1
         return evicted
 
-    def take(self, now: float, service_s: float) -> tuple[T | None, list[T]]:
+    def pop(self, now: float, service_s: float) -> tuple[T | None, list[T]]:
         """Return the next item that can still meet its deadline, and those that can't.
 
         :param service_s: time that an item needs once it has its slot.
--- a/src/bulrushflow/routing/retries.py
+++ b/src/bulrushflow/routing/retries.py
@@ -24,11 +24,11 @@
         self._max_tokens = max_tokens
         self._tokens = max_tokens
 
-    def earn(self) -> None:
+    def replenish(self) -> None:
         """Count a first attempt."""
         self._tokens = min(self._max_tokens, self._tokens + self._ratio)
 
-    def spend(self) -> bool:
+    def try_consume(self) -> bool:
         """Take one retry from the budget; ``False`` when it is empty."""
         if self._tokens < 1:
             return False
--- a/src/bulrushflow/routing/routes.py
+++ b/src/bulrushflow/routing/routes.py
@@ -38,7 +38,7 @@
     :param share_permille: gives the new version's share for a move's offset, 0 when taken back.
     """
     stable = configuration.services_by_name[service].version
-    move = configuration.active_move(service)
+    move = configuration.active_rollout(service)
     if move is None:
         return (stable,)
     share = share_permille(move.offset)
--- a/src/bulrushflow/sidecar/adapter.py
+++ b/src/bulrushflow/sidecar/adapter.py
@@ -32,7 +32,7 @@
 class Adapter(t.Protocol):
     """What differs between platforms."""
 
-    names: HeaderNames
+    header_names: HeaderNames
     topics: Topics
     paths: AnnouncementPaths
 
@@ -47,21 +47,21 @@
     def decode_status(self, record: KeyedRecord) -> Result[MoveStatus, str]:
         """Decode the store's record of a move's status."""
 
-    def order_follower(self, orders: "OrderSink") -> Follower:
+    def operator_record_handler(self, orders: "OrderSink") -> Follower:
         """Return what decodes the operator's records."""
 
 
 class OrderSink(t.Protocol):
     """What the operator's decoded records are handed to."""
 
-    def configure(self, routing: Routing) -> None:
+    def apply_configuration(self, routing: Routing) -> None:
         """Put a configuration in force."""
 
-    def order_move(self, order: MoveOrder) -> None:
+    def order_rollout(self, order: MoveOrder) -> None:
         """Take in an order."""
 
-    def withdraw_move(self, service: str) -> None:
+    def withdraw_rollout(self, service: str) -> None:
         """Take in that an order is gone."""
 
-    def unreadable(self, key: str, reason: str) -> None:
+    def report_unreadable(self, key: str, reason: str) -> None:
         """Tell of a record that can't be read."""
--- a/src/bulrushflow/sidecar/application.py
+++ b/src/bulrushflow/sidecar/application.py
@@ -85,7 +85,7 @@
         bounds = settings.bounds
         self._repeats = RepeatLimit(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s)
         self._gate = Gate(
-            adapter.names,
+            adapter.header_names,
             self._moves.is_forbidden,
             self._observe,
             self._announce_target,
@@ -95,7 +95,7 @@
         )
         self._build_replicas(adapter, store)
         self._peers = Peers(
-            self._links, self._gate, self._orders, self.directory.is_known, self._decisions
+            self._links, self._gate, self._orders, self.directory.is_current, self._decisions
         )
         self._dispatcher = Dispatcher(
             settings.address,
@@ -103,13 +103,13 @@
             self._gate,
             self._peers,
             Balancer(settings.data_centre, self._rng, self._clock.wall_ms),
-            self._moves.choose,
+            self._moves.filter_peers,
             self._metrics,
             self._decisions,
             self._rng,
         )
         self._callers = CallerServer(
-            adapter.names,
+            adapter.header_names,
             lambda: self.routing,
             lambda: self.settings.own_service,
             self._dispatcher,
@@ -123,7 +123,7 @@
         nodes = NodeFollower(self.directory, self._own_key, self._found_own, self._decisions)
         statuses = MoveFollower(adapter.decode_status, self._take_status, self._decisions)
         self._orders = Replica(
-            store, topics.orders, adapter.order_follower(self), self._decisions, self._rng
+            store, topics.orders, adapter.operator_record_handler(self), self._decisions, self._rng
         )
         self._nodes = Replica(store, topics.nodes, nodes, self._decisions, self._rng)
         self._statuses = Replica(store, topics.statuses, statuses, self._decisions, self._rng)
@@ -218,41 +218,41 @@
         ]
         logger.bind(changed=changed, service=settings.own_service).info("settings reloaded")
 
-    def configure(self, routing: Routing) -> None:
+    def apply_configuration(self, routing: Routing) -> None:
         """See :meth:`OrderSink.configure`; an older configuration is never taken."""
         if routing.version <= self.routing.version:
             return
-        self._decisions.belief(
+        self._decisions.event(
             "configuration in force", version=routing.version, before=self.routing.version
         )
         self.routing = routing
 
-    def order_move(self, order: MoveOrder) -> None:
+    def order_rollout(self, order: MoveOrder) -> None:
         """See :meth:`OrderSink.order_move`."""
-        self._moves.order(order, asyncio.get_running_loop().time())
+        self._moves.apply_order(order, asyncio.get_running_loop().time())
 
-    def withdraw_move(self, service: str) -> None:
+    def withdraw_rollout(self, service: str) -> None:
         """See :meth:`OrderSink.withdraw_move`."""
-        self._moves.withdraw(service)
+        self._moves.remove_order(service)
 
-    def unreadable(self, key: str, reason: str) -> None:
+    def report_unreadable(self, key: str, reason: str) -> None:
         """See :meth:`OrderSink.unreadable`."""
-        self._decisions.belief("record unreadable", key=key, reason=reason)
+        self._decisions.event("record unreadable", key=key, reason=reason)
 
     def _take_status(self, status: MoveStatus) -> None:
-        self._moves.take(status, asyncio.get_running_loop().time(), recorded=True)
+        self._moves.apply_status(status, asyncio.get_running_loop().time(), recorded=True)
 
     def _observe(self, call: Call, failed: bool, seconds: float) -> None:
         entry = self._gate.entry
         warming = entry is not None and entry.warm_at_ms > self._clock.wall_ms()
-        self._moves.observe(call, failed, seconds, warming)
+        self._moves.observe_call(call, failed, seconds, warming)
 
     def _announce_target(self, entry: TargetEntry | None) -> None:
         settings = self.settings
         own = NodeEntry(
             settings.node_id, settings.data_centre, settings.address, settings.peer_port, entry
         )
-        self.directory.put(self._own_key, own)
+        self.directory.update(self._own_key, own)
         self._registration.want(own)
 
     def _found_own(self, entry: NodeEntry | None) -> None:
@@ -263,11 +263,11 @@
         if not first or self._gate.entry is not None or settings.target is None:
             return
         if entry is not None and entry.target is not None:
-            self._gate.announce(entry.target, settings.target)
+            self._gate.apply_announcement(entry.target, settings.target)
 
     async def _share_repeats(self) -> None:
         service = self.settings.own_service
-        self._repeats.sharers = max(1, len(self.directory.ready(service)))
+        self._repeats.target_count = max(1, len(self.directory.ready_peers(service)))
 
     async def _serve_application(self, app: web.Application, endpoint: Endpoint) -> None:
         await self._serve(web.AppRunner(app, access_log=None, shutdown_timeout=CLOSE_S), endpoint)
--- a/src/bulrushflow/sidecar/balancer.py
+++ b/src/bulrushflow/sidecar/balancer.py
@@ -49,7 +49,7 @@
         left = [
             peer
             for peer in candidates
-            if not peer.lost
+            if not peer.unreachable
             and peer.unavailable_until <= now
             and peer.entry.address not in excluded
         ]
--- a/src/bulrushflow/sidecar/callers.py
+++ b/src/bulrushflow/sidecar/callers.py
@@ -100,7 +100,7 @@
                 await response.write_eof()
             except ConnectionResetError:
                 # The caller left in the moment of the answer.
-                self._decisions.belief(
+                self._decisions.event(
                     "caller left before its answer",
                     request=request.headers.get(self._names.request_id),
                     status=response.status,
@@ -117,7 +117,7 @@
             return self._refusal(request_id, 503, "no configuration yet")
         route = routing.match(request.headers.get("Host", "").lower(), request.raw_path)
         if route is None:
-            self._decisions.belief(
+            self._decisions.event(
                 "no route",
                 request=request_id,
                 host=request.headers.get("Host"),
@@ -162,7 +162,7 @@
             deadline=started_at + left_s,
             idempotent=route.idempotent,
             priority=route.priority,
-            useful_until=started_at + route.target_latency_s,
+            late_after=started_at + route.latency_objective_s,
         )
 
     def _response(
@@ -173,7 +173,7 @@
                 self._decisions.answered(
                     call,
                     answer,
-                    asyncio.get_running_loop().time() > call.useful_until,
+                    asyncio.get_running_loop().time() > call.late_after,
                     configuration=version,
                     seconds=round(seconds, 3),
                 )
--- a/src/bulrushflow/sidecar/decisions.py
+++ b/src/bulrushflow/sidecar/decisions.py
@@ -44,7 +44,7 @@
         self._bounds_by_kind: dict[str, _Bound] = {}
         self._answered = 0
 
-    def belief(self, event: str, **inputs: t.Any) -> None:
+    def event(self, event: str, **inputs: t.Any) -> None:
         """Tell that this process believes something else now, and why."""
         self._write(event, inputs)
 
--- a/src/bulrushflow/sidecar/directory.py
+++ b/src/bulrushflow/sidecar/directory.py
@@ -26,12 +26,12 @@
     entry: NodeEntry
     in_flight: int = 0
     latency_s: float = 0.0
-    failures: float = 0.0
+    failure_rate: float = 0.0
     reported_load: float = 0.0
     reported_at: float = 0.0
     unavailable_until: float = 0.0
     ejected_until: float = 0.0
-    lost: bool = False
+    unreachable: bool = False
     """Whether the node can't be reached."""
     backoff_s: float = FIRST_BACKOFF_S
 
@@ -42,23 +42,23 @@
         age_s = now - self.reported_at
         return max(own, self.reported_load * 0.5 ** (age_s / LOAD_HALF_LIFE_S))
 
-    def report(self, load: float, now: float) -> None:
+    def record_load(self, load: float, now: float) -> None:
         """Take in the load that the peer told with an answer."""
         self.reported_load = load
         self.reported_at = now
 
-    def answered(self, seconds: float, failed: bool, now: float) -> None:
+    def record_response(self, seconds: float, failed: bool, now: float) -> None:
         """Take in an answer of the target."""
         self.backoff_s = FIRST_BACKOFF_S
-        self.failures += (failed - self.failures) * FAILURE_SMOOTHING
+        self.failure_rate += (failed - self.failure_rate) * FAILURE_SMOOTHING
         if not failed:
             weight = LATENCY_SMOOTHING if self.latency_s else 1.0
             self.latency_s += (seconds - self.latency_s) * weight
-        if self.failures >= EJECT_FAILURES:
+        if self.failure_rate >= EJECT_FAILURES:
             self.ejected_until = now + EJECT_S
-            self.failures = EJECT_FAILURES / 2
+            self.failure_rate = EJECT_FAILURES / 2
 
-    def without_target(self, now: float) -> None:
+    def mark_unavailable(self, now: float) -> None:
         """Take in that the node has no target that takes calls now."""
         if now < self.unavailable_until:
             # One of several calls that found it out together.
@@ -76,7 +76,7 @@
         self.peers_by_key: dict[str, Peer] = {}
         self._ready_by_service: dict[str, list[Peer]] = {}
 
-    def put(self, key: str, entry: NodeEntry) -> None:
+    def update(self, key: str, entry: NodeEntry) -> None:
         """Take in a node's newest entry. A new target starts without a record."""
         held = self.peers_by_key.get(key)
         if held is not None:
@@ -90,22 +90,22 @@
         if target is not None and target.state is TargetState.READY:
             self._ready_by_service.setdefault(target.service, []).append(held)
 
-    def is_known(self, peer: Peer) -> bool:
+    def is_current(self, peer: Peer) -> bool:
         """Tell whether a peer is still the one of its address."""
         return any(known is peer for known in self.peers_by_key.values())
 
-    def drop(self, key: str) -> None:
+    def remove(self, key: str) -> None:
         """Forget a node."""
         peer = self.peers_by_key.pop(key, None)
         if peer is not None:
             self._unlist(peer)
 
-    def keep_only(self, keys: t.Collection[str]) -> None:
+    def retain(self, keys: t.Collection[str]) -> None:
         """Forget every other node."""
         for key in [key for key in self.peers_by_key if key not in keys]:
-            self.drop(key)
+            self.remove(key)
 
-    def ready(self, service: str) -> t.Sequence[Peer]:
+    def ready_peers(self, service: str) -> t.Sequence[Peer]:
         """Return the peers whose target takes calls of a service."""
         return self._ready_by_service.get(service, ())
 
--- a/src/bulrushflow/sidecar/dispatcher.py
+++ b/src/bulrushflow/sidecar/dispatcher.py
@@ -70,7 +70,7 @@
                 if not self.runs:
                     self.result = result
                 self.refusals += 1
-                self.arrivals += failure.arrived
+                self.arrivals += failure.reached_target
                 return self.refusals >= MAX_REFUSALS
             case Err(failure):
                 self.result = result
@@ -143,7 +143,7 @@
     async def _try(self, route: Route, call: Call, progress: Progress) -> None:
         """Try targets until an outcome is the last."""
         loop = asyncio.get_running_loop()
-        held_until = min(call.deadline, loop.time() + route.target_latency_s * HELD_PART)
+        held_until = min(call.deadline, loop.time() + route.latency_objective_s * HELD_PART)
         tried: set[str] = set()
         while loop.time() < call.deadline:
             peer = self._choose(route, call, tried)
@@ -168,7 +168,7 @@
         """Tell whether a call may be at two targets at once."""
         if not call.idempotent or progress.runs + 1 >= route.max_attempts:
             return False
-        return len(self._directory.ready(call.service)) > 1
+        return len(self._directory.ready_peers(call.service)) > 1
 
     async def _hedged(
         self, route: Route, call: Call, peer: Peer, progress: Progress, tried: set[str]
@@ -180,7 +180,9 @@
         :return: whether the call ended.
         """
         loop = asyncio.get_running_loop()
-        patience_s = max(route.target_latency_s * PATIENCE_PART, peer.latency_s * PATIENCE_FACTOR)
+        patience_s = max(
+            route.latency_objective_s * PATIENCE_PART, peer.latency_s * PATIENCE_FACTOR
+        )
         running = {loop.create_task(self._attempt(peer, call, progress, progress.arrivals))}
         ended = False
         try:
@@ -205,9 +207,9 @@
         return ended
 
     def _choose(self, route: Route, call: Call, tried: set[str]) -> Peer | None:
-        candidates = self._choose_version(call.service, self._directory.ready(call.service))
+        candidates = self._choose_version(call.service, self._directory.ready_peers(call.service))
         now = asyncio.get_running_loop().time()
-        return self._balancer.choose(candidates, tried, now, route.target_latency_s)
+        return self._balancer.choose(candidates, tried, now, route.latency_objective_s)
 
     async def _attempt(
         self, peer: Peer, call: Call, progress: Progress, arrivals: int
@@ -249,19 +251,19 @@
         now = asyncio.get_running_loop().time()
         match result:
             case Ok(answer):
-                peer.answered(seconds, answer.is_failure, now)
-                peer.report(report.load or 0.0, now)
+                peer.record_response(seconds, answer.is_failure, now)
+                peer.record_load(report.load or 0.0, now)
                 return
             case Err(failure):
                 pass
-        if failure.outcome is Outcome.UNKNOWN or failure.arrived:
-            peer.answered(seconds, True, now)
+        if failure.outcome is Outcome.UNKNOWN or failure.reached_target:
+            peer.record_response(seconds, True, now)
         if not report.reached:
-            self._peers.lose(peer)
+            self._peers.mark_unreachable(peer)
         elif report.load is None:
-            peer.without_target(now)
+            peer.mark_unavailable(now)
         elif failure.outcome is Outcome.NOT_RUN:
-            peer.report(max(report.load, FULL_LOAD), now)
+            peer.record_load(max(report.load, FULL_LOAD), now)
         self._tell_failed(peer, call, failure, report.load, seconds)
 
     def _tell_failed(
--- a/src/bulrushflow/sidecar/driver.py
+++ b/src/bulrushflow/sidecar/driver.py
@@ -80,9 +80,9 @@
         now = asyncio.get_running_loop().time()
         if move.phase is MovePhase.RUNNING:
             self._spread(move)
-            reason = self._moves.judge(move, now)
+            reason = self._moves.update_analysis(move, now)
             if reason is not None:
-                self.take_back(move, reason)
+                self.roll_back(move, reason)
             else:
                 await self._pace(move, now)
         unwritten = self._unwritten.get(move.order.service)
@@ -90,7 +90,7 @@
             await self._write(move, unwritten)
 
     def _spread(self, move: Move) -> None:
-        evidence = self._moves.own_evidence(move)
+        evidence = self._moves.local_evidence(move)
         if evidence.sequence:
             message = codec.evidence_to_message(evidence)
             self._tell(self._drivers()[:JUDGES], evidence_report=message)
@@ -105,10 +105,10 @@
             self._sending.add(sending)
             sending.add_done_callback(self._sending.discard)
 
-    def take_back(self, move: Move, reason: str) -> None:
+    def roll_back(self, move: Move, reason: str) -> None:
         """Take a version back here and on every node that can be reached, then record it."""
-        status = self._next(move, 0, MovePhase.TAKEN_BACK, reason)
-        self._moves.take(status, asyncio.get_running_loop().time())
+        status = self._next(move, 0, MovePhase.ROLLED_BACK, reason)
+        self._moves.apply_status(status, asyncio.get_running_loop().time())
         self._unwritten[move.order.service] = status
         notice = messages.StateNotice(
             key=MOVE_KEY_PREFIX + move.order.service, value=encode_move(status)
@@ -127,8 +127,8 @@
         # The others have their own evidence only, which is none to raise a share by.
         if rank >= JUDGES or now - self._due[1] < rank * RANK_WAIT_S:
             return
-        if step.phase is MovePhase.TAKEN_BACK:
-            self.take_back(move, step.reason)
+        if step.phase is MovePhase.ROLLED_BACK:
+            self.roll_back(move, step.reason)
             return
         await self._write(move, step)
 
@@ -139,12 +139,12 @@
         if status.share_permille >= FULL_PERMILLE:
             if now - move.share_since < EMPTYING_S:
                 return None
-            return self._next(move, FULL_PERMILLE, MovePhase.DONE, status.reason)
-        pace = self._moves.pace(move, now, self._clock.wall_ms())
-        reason = f"{pace.rule}; {move.controller.verdict.evidence}"
-        if pace.take_back:
-            return self._next(move, 0, MovePhase.TAKEN_BACK, reason)
-        if pace.done:
+            return self._next(move, FULL_PERMILLE, MovePhase.COMPLETED, status.reason)
+        pace = self._moves.next_step(move, now, self._clock.wall_ms())
+        reason = f"{pace.rule}; {move.controller.latest_result.evidence}"
+        if pace.roll_back:
+            return self._next(move, 0, MovePhase.ROLLED_BACK, reason)
+        if pace.completed:
             return self._next(move, FULL_PERMILLE, MovePhase.RUNNING, reason)
         if pace.share_permille != status.share_permille:
             return self._next(move, pace.share_permille, MovePhase.RUNNING, reason)
@@ -185,9 +185,9 @@
             case Ok(_):
                 self._unwritten.pop(service, None)
                 now = asyncio.get_running_loop().time()
-                self._moves.take(status, now, recorded=True)
+                self._moves.apply_status(status, now, recorded=True)
             case Err(error):
-                self._decisions.belief(
+                self._decisions.event(
                     "move step not written",
                     service=service,
                     step=status.step,
@@ -209,17 +209,19 @@
             for key, peer in self._directory.peers_by_key.items()
             if peer.entry.target is not None
             and peer.entry.target.service == service
-            and (key == self._own_key or not peer.lost)
+            and (key == self._own_key or not peer.unreachable)
         )
 
     async def _take_evidence(self, message: t.Any) -> None:
-        self._moves.merge(codec.evidence_from_message(message), asyncio.get_running_loop().time())
+        self._moves.merge_evidence(
+            codec.evidence_from_message(message), asyncio.get_running_loop().time()
+        )
 
     async def _take_notice(self, message: t.Any) -> None:
         if not message.key.startswith(MOVE_KEY_PREFIX):
             return
         match decode_move(message.value):
             case Ok(status):
-                self._moves.take(status, asyncio.get_running_loop().time())
+                self._moves.apply_status(status, asyncio.get_running_loop().time())
             case Err(reason):
-                self._decisions.belief("notice unreadable", key=message.key, reason=reason)
+                self._decisions.event("notice unreadable", key=message.key, reason=reason)
--- a/src/bulrushflow/sidecar/endpoints.py
+++ b/src/bulrushflow/sidecar/endpoints.py
@@ -45,12 +45,12 @@
         target_id = request.match_info["target_id"]
         match decode(target_id, await request.read()):
             case Err(reason):
-                decisions.belief("announcement refused", target=target_id, reason=reason)
+                decisions.event("announcement refused", target=target_id, reason=reason)
                 return web.json_response({"error": reason}, status=400)
             case Ok((entry, endpoint)):
                 pass
-        if not gate.announce(entry, endpoint):
-            decisions.belief(
+        if not gate.apply_announcement(entry, endpoint):
+            decisions.event(
                 "announcement late",
                 target=target_id,
                 incarnation=entry.incarnation,
@@ -61,7 +61,7 @@
         return web.json_response({})
 
     async def leave(request: web.Request) -> web.Response:
-        gate.depart(request.match_info["target_id"])
+        gate.remove_target(request.match_info["target_id"])
         await registration.settled(ACKNOWLEDGE_S)
         return web.json_response({})
 
--- a/src/bulrushflow/sidecar/followers.py
+++ b/src/bulrushflow/sidecar/followers.py
@@ -38,7 +38,7 @@
         held = [record for record in records if record.value]
         if all(record.key != self._own_key for record in held):
             self._on_own(None)
-        self._directory.keep_only({record.key for record in held} | {self._own_key})
+        self._directory.retain({record.key for record in held} | {self._own_key})
         for record in held:
             self.apply(record)
 
@@ -51,16 +51,16 @@
             return
         match decode_node(record.value):
             case Err(reason):
-                self._decisions.belief("record unreadable", key=record.key, reason=reason)
+                self._decisions.event("record unreadable", key=record.key, reason=reason)
             case Ok(entry) if record.key == self._own_key:
                 self._on_own(entry)
             case Ok(entry):
                 self._put(record, entry)
 
     def _put(self, record: KeyedRecord, entry: NodeEntry) -> None:
-        self._directory.put(record.key, entry)
+        self._directory.update(record.key, entry)
         target = entry.target
-        self._decisions.belief(
+        self._decisions.event(
             "node entry",
             node=entry.node_id,
             target=target.target_id if target else None,
@@ -72,7 +72,7 @@
         if record.key == self._own_key:
             self._on_own(None)
             return
-        self._directory.drop(record.key)
+        self._directory.remove(record.key)
 
 
 class MoveFollower:
@@ -102,6 +102,6 @@
             return
         match self._decode(record):
             case Err(reason):
-                self._decisions.belief("record unreadable", key=record.key, reason=reason)
+                self._decisions.event("record unreadable", key=record.key, reason=reason)
             case Ok(status):
                 self._on_status(status)
--- a/src/bulrushflow/sidecar/gate.py
+++ b/src/bulrushflow/sidecar/gate.py
@@ -77,15 +77,15 @@
         """Calls at the target."""
         return len(self._sends)
 
-    def announce(self, entry: TargetEntry, endpoint: Endpoint) -> bool:
+    def apply_announcement(self, entry: TargetEntry, endpoint: Endpoint) -> bool:
         """Take the target's word on itself; ``False`` when a newer word is held already."""
         held = self.entry
         departed = self._departed.get(entry.target_id)
         if departed is not None and entry.incarnation <= departed[0]:
             return False
-        if held is not None and entry.order <= held.order:
+        if held is not None and entry.revision <= held.revision:
             # A word that was late, perhaps of a process that ended.
-            return entry.order == held.order
+            return entry.revision == held.revision
         replaced = held is None or held.target_id != entry.target_id
         replaced = replaced or t.cast(TargetEntry, held).incarnation != entry.incarnation
         if replaced or endpoint != self.endpoint:
@@ -97,7 +97,7 @@
         if entry.state is not TargetState.READY:
             self._slots.refuse_queued("the target takes no new calls")
         if changed:
-            self._decisions.belief(
+            self._decisions.event(
                 "target announced",
                 target=entry.target_id,
                 service=entry.service,
@@ -109,15 +109,15 @@
             self._on_change(entry)
         return True
 
-    def depart(self, target_id: str) -> None:
+    def remove_target(self, target_id: str) -> None:
         """Take the word of a target that it leaves for good; it gets no new calls."""
         held = self.entry
         if held is None or held.target_id != target_id:
             # Its incarnation isn't known, but it began before now.
             self._remember_departed(target_id, (self._clock.wall_ms(), 0))
             return
-        self._remember_departed(target_id, held.order)
-        self._decisions.belief("target left", target=target_id, service=held.service)
+        self._remember_departed(target_id, held.revision)
+        self._decisions.event("target left", target=target_id, service=held.service)
         self.entry = None
         self._slots.refuse_queued("the target left")
         self._on_change(None)
@@ -168,9 +168,9 @@
     def _repeat_refusal(self, call: Call) -> str | None:
         now = asyncio.get_running_loop().time()
         if not call.attempt:
-            self._repeats.first(now)
+            self._repeats.record_first_attempt(now)
             return None
-        return None if self._repeats.repeat(now) else "too many repeated calls"
+        return None if self._repeats.try_consume(now) else "too many repeated calls"
 
     async def _send(self, call: Call, slots: Slots) -> CallResult:
         task = asyncio.get_running_loop().create_task(self._exchange(call, slots))
@@ -210,14 +210,14 @@
         if client.replaced:
             self._lose("another target has the address")
         elif client.unreachable and self.reachable:
-            self._decisions.belief("target unreachable", target=self.entry.target_id)
+            self._decisions.event("target unreachable", target=self.entry.target_id)
             self.reachable = False
             self._slots.refuse_queued("the target takes no connections")
 
     def _lose(self, reason: str) -> None:
         entry = t.cast(TargetEntry, self.entry)
-        self._decisions.belief("target lost", target=entry.target_id, reason=reason)
-        self._remember_departed(entry.target_id, entry.order)
+        self._decisions.event("target lost", target=entry.target_id, reason=reason)
+        self._remember_departed(entry.target_id, entry.revision)
         self.entry = None
         self._slots.refuse_queued(reason)
         self._on_change(None)
@@ -237,7 +237,7 @@
 
 
 def _wait(call: Call) -> Wait:
-    return Wait(call.route, call.priority, call.useful_until, call.deadline)
+    return Wait(call.route, call.priority, call.late_after, call.deadline)
 
 
 def _equal(held: TargetEntry, entry: TargetEntry) -> bool:
--- a/src/bulrushflow/sidecar/model.py
+++ b/src/bulrushflow/sidecar/model.py
@@ -34,7 +34,7 @@
     services: tuple[WeightedService, ...]
     idempotent: bool
     timeout_s: float
-    target_latency_s: float
+    latency_objective_s: float
     max_attempts: int
     priority: int
     """0 is the most important."""
@@ -98,7 +98,7 @@
     """Epoch milliseconds at which the target is expected to reach its usual speed."""
 
     @property
-    def order(self) -> tuple[int, int]:
+    def revision(self) -> tuple[int, int]:
         """Position among all that targets at one address say."""
         return self.incarnation, self.sequence
 
@@ -123,8 +123,8 @@
     """Where a move of traffic between two versions stands."""
 
     RUNNING = "running"
-    DONE = "done"
-    TAKEN_BACK = "taken back"
+    COMPLETED = "done"
+    ROLLED_BACK = "taken back"
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/bulrushflow/sidecar/moves.py
+++ b/src/bulrushflow/sidecar/moves.py
@@ -45,9 +45,9 @@
     @property
     def share_permille(self) -> int:
         """Share of the calls that go to the new version."""
-        if self.status is None or self.phase is MovePhase.TAKEN_BACK:
+        if self.status is None or self.phase is MovePhase.ROLLED_BACK:
             return 0
-        return FULL_PERMILLE if self.phase is MovePhase.DONE else self.status.share_permille
+        return FULL_PERMILLE if self.phase is MovePhase.COMPLETED else self.status.share_permille
 
     def elapsed_s(self, now: float, now_ms: int) -> float:
         """Return the seconds since the order, on this node's own clock where it saw the order."""
@@ -83,15 +83,15 @@
         """Put other limits in force, for orders from now on."""
         self._limits = limits
 
-    def order(self, order: MoveOrder, now: float) -> None:
+    def apply_order(self, order: MoveOrder, now: float) -> None:
         """Take in the operator's order; a later one of the service replaces an earlier one."""
         held = self.by_service.get(order.service)
         if held is not None and held.order.order_id >= order.order_id:
             return
         move = Move(order, now, self._limits)
         self.by_service[order.service] = move
-        self._book.keep_only([m.order.order_id for m in self.by_service.values()])
-        self._decisions.belief(
+        self._book.retain([m.order.order_id for m in self.by_service.values()])
+        self._decisions.event(
             "move ordered",
             service=order.service,
             version=order.to_version,
@@ -102,7 +102,7 @@
         if status is not None and status.order_id == order.order_id:
             self._follow(move, status, now)
 
-    def withdraw(self, service: str) -> None:
+    def remove_order(self, service: str) -> None:
         """Take in that the operator's order is gone."""
         self.by_service.pop(service, None)
 
@@ -110,7 +110,7 @@
         """Tell whether the store holds an end of the status's order already."""
         return self._recorded_by_service.get(status.service) == status.order_id
 
-    def take(self, status: MoveStatus, now: float, recorded: bool = False) -> bool:
+    def apply_status(self, status: MoveStatus, now: float, recorded: bool = False) -> bool:
         """Take in a status; ``False`` when it says nothing new.
 
         :param recorded: whether the store holds it. Of two ends of one order the recorded one
@@ -136,7 +136,7 @@
         move.status = status
         if move.share_permille != before:
             move.share_since = now
-        self._decisions.belief(
+        self._decisions.event(
             "move status",
             service=status.service,
             version=status.to_version,
@@ -153,9 +153,9 @@
         move = self.by_service.get(service)
         if move is None or move.order.to_version != version:
             return False
-        return move.phase is MovePhase.TAKEN_BACK
+        return move.phase is MovePhase.ROLLED_BACK
 
-    def choose(self, service: str, peers: t.Sequence[Peer]) -> t.Sequence[Peer]:
+    def filter_peers(self, service: str, peers: t.Sequence[Peer]) -> t.Sequence[Peer]:
         """Leave the peers with the version that one call goes to."""
         move = self.by_service.get(service)
         if move is None:
@@ -163,41 +163,41 @@
         new = [peer for peer in peers if _version(peer) == move.order.to_version]
         old = [peer for peer in peers if _version(peer) != move.order.to_version]
         share = move.share_permille
-        if move.phase is MovePhase.TAKEN_BACK or not share:
+        if move.phase is MovePhase.ROLLED_BACK or not share:
             return old
         if share >= FULL_PERMILLE or self._rng.randrange(FULL_PERMILLE) < share:
             return new or old
         return old or new
 
-    def observe(self, call: Call, failed: bool, seconds: float, warming: bool) -> None:
+    def observe_call(self, call: Call, failed: bool, seconds: float, warming: bool) -> None:
         """Count an answer of this node's own target."""
         move = self.by_service.get(call.service)
         if move is None or move.phase is not MovePhase.RUNNING:
             return
         version = call.version if call.version == move.order.to_version else OLD_VERSION
-        own = self._book.own(move.order.order_id)
+        own = self._book.local(move.order.order_id)
         own.observe(version, call.route, failed, seconds, warming)
 
-    def own_evidence(self, move: Move) -> Evidence:
+    def local_evidence(self, move: Move) -> Evidence:
         """Return what this node's target showed."""
-        return self._book.own(move.order.order_id)
+        return self._book.local(move.order.order_id)
 
-    def merge(self, evidence: Evidence, now: float) -> None:
+    def merge_evidence(self, evidence: Evidence, now: float) -> None:
         """Take in what another node's target showed."""
         self._book.merge(evidence, now)
 
-    def judge(self, move: Move, now: float) -> str | None:
+    def update_analysis(self, move: Move, now: float) -> str | None:
         """Judge the new version on all evidence; return why it must be taken back, if it must."""
-        totals = self._book.total(move.order.order_id)
-        verdict = move.controller.observe(totals, move.share_permille, now)
-        if verdict.judgement is not Judgement.FAULTY:
+        totals = self._book.totals(move.order.order_id)
+        verdict = move.controller.update_analysis(totals, move.share_permille, now)
+        if verdict.outcome is not Judgement.FAULTY:
             return None
         return f"{verdict.rule}: {verdict.evidence}"
 
-    def pace(self, move: Move, now: float, now_ms: int) -> Pace:
+    def next_step(self, move: Move, now: float, now_ms: int) -> Pace:
         """Return the next step of a move by the evidence and the time."""
         elapsed_ms = int(move.elapsed_s(now, now_ms) * 1000)
-        return move.controller.pace(move.share_permille, elapsed_ms, now)
+        return move.controller.next_step(move.share_permille, elapsed_ms, now)
 
 
 def _version(peer: Peer) -> str:
--- a/src/bulrushflow/sidecar/peers.py
+++ b/src/bulrushflow/sidecar/peers.py
@@ -47,13 +47,13 @@
         links: Links,
         gate: Gate,
         orders: Replica,
-        is_known: t.Callable[[Peer], bool],
+        is_current: t.Callable[[Peer], bool],
         decisions: Decisions,
     ) -> None:
         self._links = links
         self._gate = gate
         self._orders = orders
-        self._is_known = is_known
+        self._is_known = is_current
         self._decisions = decisions
         self._rechecks: set[asyncio.Task[None]] = set()
         links.handle("call_request", self._serve)
@@ -66,7 +66,7 @@
             return refused("no time left"), PeerReport(True, 0.0)
         request = codec.call_to_message(call, left_s)
         request.read_offset = self._orders.offset
-        request.useful_ms = max(0, int((call.useful_until - now) * 1000))
+        request.useful_ms = max(0, int((call.late_after - now) * 1000))
         match await self._links.exchange(endpoint, left_s, CALL_CONNECT_S, call_request=request):
             case Err(error):
                 result = (unknown if error.sent else not_run)(error.reason)
@@ -84,15 +84,15 @@
         """Nodes that are looked for."""
         return len(self._rechecks)
 
-    def lose(self, peer: Peer) -> None:
+    def mark_unreachable(self, peer: Peer) -> None:
         """Take a node for unreachable until a connection to it can be opened.
 
         No call waits for the attempts.
         """
-        if peer.lost:
+        if peer.unreachable:
             return
-        peer.lost = True
-        self._decisions.belief("node unreachable", node=peer.entry.node_id)
+        peer.unreachable = True
+        self._decisions.event("node unreachable", node=peer.entry.node_id)
         task = asyncio.get_running_loop().create_task(self._recheck(peer))
         self._rechecks.add(task)
         task.add_done_callback(self._rechecks.discard)
@@ -106,8 +106,8 @@
         wait_s = FIRST_RECHECK_S
         while self._is_known(peer):
             if await self._links.reach(peer.entry.endpoint):
-                peer.lost = False
-                self._decisions.belief("node reached", node=peer.entry.node_id)
+                peer.unreachable = False
+                self._decisions.event("node reached", node=peer.entry.node_id)
                 return
             await asyncio.sleep(wait_s)
             wait_s = min(MAX_RECHECK_S, wait_s * 2)
--- a/src/bulrushflow/sidecar/registration.py
+++ b/src/bulrushflow/sidecar/registration.py
@@ -69,11 +69,11 @@
                 case Ok(offset):
                     self._written = entry
                     backoff_s = FIRST_BACKOFF_S
-                    self._decisions.belief("entry written", offset=offset)
+                    self._decisions.event("entry written", offset=offset)
                     if entry == self._wanted:
                         self._settled.set()
                 case Err(error):
-                    self._decisions.belief("entry not written", reason=error.message)
+                    self._decisions.event("entry not written", reason=error.message)
                     await asyncio.sleep(self._rng.uniform(0.5, 1.0) * backoff_s)
                     backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
                     self._changed.set()
--- a/src/bulrushflow/sidecar/repeats.py
+++ b/src/bulrushflow/sidecar/repeats.py
@@ -19,14 +19,14 @@
     :param slack: repeated calls allowed in a window beyond the ratio, over the service.
     """
 
-    __slots__ = ("_firsts", "_ratio", "_repeats", "_slack", "_spans", "_window_s", "sharers")
+    __slots__ = ("_firsts", "_ratio", "_repeats", "_slack", "_spans", "_window_s", "target_count")
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
         self.configure(ratio, slack, window_s)
         self._spans: collections.deque[list[float]] = collections.deque()
         self._firsts = 0.0
         self._repeats = 0.0
-        self.sharers = 1
+        self.target_count = 1
         """Targets of the service that share the slack."""
 
     def configure(self, ratio: float, slack: float, window_s: float) -> None:
@@ -35,15 +35,15 @@
         self._slack = slack * SLACK_PART
         self._window_s = window_s
 
-    def first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Count a call that was not sent to a target before."""
         self._span(now)[1] += 1
         self._firsts += 1
 
-    def repeat(self, now: float) -> bool:
+    def try_consume(self, now: float) -> bool:
         """Count a repeated call; ``False`` when it is one too many."""
         span = self._span(now)
-        allowed = self._ratio * self._firsts + self._slack / max(1, self.sharers)
+        allowed = self._ratio * self._firsts + self._slack / max(1, self.target_count)
         if self._repeats + 1 > allowed:
             return False
         span[2] += 1
--- a/src/bulrushflow/sidecar/replica.py
+++ b/src/bulrushflow/sidecar/replica.py
@@ -66,7 +66,7 @@
         self.loaded = False
         """Whether the topic's whole state was read since the start."""
 
-    def hint(self, offset: int) -> None:
+    def note_peer_offset(self, offset: int) -> None:
         """Take in that another node has read up to ``offset``."""
         if self.offset is None or offset <= max(self.offset, self._hinted):
             return
@@ -76,7 +76,7 @@
     def _check_hint(self, offset: int) -> None:
         if self.offset is None or self.offset >= offset or self._reading is None:
             return
-        self._decisions.belief(
+        self._decisions.event(
             "read lags behind", topic=self._topic, offset=self.offset, others_have=offset
         )
         self._wait_s = 0.0
@@ -111,7 +111,7 @@
         match result:
             case Err(error):
                 if error.kind is StoreErrorKind.TRIMMED:
-                    self._decisions.belief("store trimmed", topic=self._topic, offset=self.offset)
+                    self._decisions.event("store trimmed", topic=self._topic, offset=self.offset)
                     self.offset = None
                     return True
                 self._lost(error.message)
@@ -149,9 +149,9 @@
     def _lost(self, reason: str) -> None:
         if self._connected is not False:
             self._connected = False
-            self._decisions.belief("store lost", topic=self._topic, reason=reason)
+            self._decisions.event("store lost", topic=self._topic, reason=reason)
 
     def _regained(self, offset: int) -> None:
         if not self._connected:
             self._connected = True
-            self._decisions.belief("store reached", topic=self._topic, offset=offset)
+            self._decisions.event("store reached", topic=self._topic, offset=offset)
--- a/src/bulrushflow/sidecar/storage.py
+++ b/src/bulrushflow/sidecar/storage.py
@@ -66,7 +66,7 @@
         """Return records from an offset on, waiting for the first."""
 
     async def append(
-        self, topic: str, writes: t.Sequence[StoreWrite], as_of: int | None = None
+        self, topic: str, writes: t.Sequence[StoreWrite], expected_end: int | None = None
     ) -> Result[int, StoreError]:
         """Append records, all or none, and return the first one's offset."""
 
--- a/src/bulrushflow/sidecar/target_client.py
+++ b/src/bulrushflow/sidecar/target_client.py
@@ -86,9 +86,9 @@
         """Tell a refusal and an unproved success from an answer that may be passed on."""
         if answer.status == 421:
             self.replaced = True
-            return not_run("another target has the address", arrived=True)
+            return not_run("another target has the address", reached_target=True)
         if answer.header(self._not_run_header) is not None:
-            return not_run(f"the target refused the call with {answer.status}", arrived=True)
+            return not_run(f"the target refused the call with {answer.status}", reached_target=True)
         if answer.status in SUCCESS:
             if answer.header(self._signature_header) is None:
                 return unknown("a success without the target's signature")
--- a/src/bulrushflow/targets/admission.py
+++ b/src/bulrushflow/targets/admission.py
@@ -58,11 +58,11 @@
     async def acquire(self, tenant: str, deadline: float) -> Refusal | None:
         """Wait for a slot in the queue; return why none was had, or ``None`` with a slot."""
         loop = asyncio.get_running_loop()
-        wait_s = self._queue.wait_s(tenant, self.service_s, self.capacity)
+        wait_s = self._queue.estimated_wait_s(tenant, self.service_s, self.capacity)
         if loop.time() + wait_s + self.service_s >= deadline:
             return "the queue is too long for the deadline"
         granted: asyncio.Future[Refusal | None] = loop.create_future()
-        evicted = self._queue.offer(granted, tenant, deadline)
+        evicted = self._queue.push(granted, tenant, deadline)
         if evicted is granted:
             return "the queue is full"
         if evicted is not None and not evicted.done():
@@ -119,7 +119,7 @@
     def _grant(self) -> None:
         while self._queue and self.occupied < self.capacity:
             now = asyncio.get_running_loop().time()
-            granted, late = self._queue.take(now, self.service_s)
+            granted, late = self._queue.pop(now, self.service_s)
             for missed in late:
                 if not missed.done():
                     missed.set_result("the deadline can't be met any more")
--- a/src/bulrushflow/targets/gatekeeper.py
+++ b/src/bulrushflow/targets/gatekeeper.py
@@ -83,7 +83,7 @@
         """Calls that may run on the target at once now."""
         return self._session.admission.capacity if self._session else 0
 
-    async def announce(self, announcement: Announcement) -> None:
+    async def handle_announcement(self, announcement: Announcement) -> None:
         """Take the target's own word on its state and address."""
         self._renewed_at = asyncio.get_running_loop().time()
         if announcement == self.announcement:
--- a/src/bulrushflow/targets/server.py
+++ b/src/bulrushflow/targets/server.py
@@ -18,7 +18,7 @@
             announcement = msgspec.json.decode(await request.read(), type=Announcement)
         except msgspec.DecodeError as exc:
             return web.json_response({"error": str(exc)}, status=400)
-        await gatekeeper.announce(announcement)
+        await gatekeeper.handle_announcement(announcement)
         return web.json_response({"in_flight": gatekeeper.in_flight})
 
     app = web.Application()
--- a/src/bulrushflow/wire/codec.py
+++ b/src/bulrushflow/wire/codec.py
@@ -87,7 +87,7 @@
     return messages.MoveState(
         move=move.offset,
         share_permille=move.share_permille,
-        taken_back=move.taken_back,
+        taken_back=move.rolled_back,
         reason=move.reason,
         decided_by=move.decided_by,
     )
@@ -139,7 +139,7 @@
         idempotent=message.idempotent,
         attempt=message.attempt or 0,
         priority=message.priority or 0,
-        useful_until=now + (message.useful_ms or 0) / 1000,
+        late_after=now + (message.useful_ms or 0) / 1000,
     )
 
 
@@ -163,7 +163,7 @@
         headers=[],
         body=b"",
         reason=failure.reason,
-        arrived=failure.arrived,
+        arrived=failure.reached_target,
         in_flight=load,
         capacity=capacity,
     )
@@ -209,7 +209,7 @@
         for (version, route), counts in evidence.counts_by_version_route.items()
     ]
     return messages.EvidenceReport(
-        move=evidence.move,
+        move=evidence.rollout_id,
         node_id=evidence.node_id,
         sequence=evidence.sequence,
         routes=routes,
--- a/tests/configuration/test_fold.py
+++ b/tests/configuration/test_fold.py
@@ -75,7 +75,7 @@
         done = FinishMove(1, "m/done", "m", False, "healthy", "", "n1")
         withdraw = WithdrawMove(1, "w", "ana", "m")
         finished = fold_all(PLOTS, start, done, withdraw)
-        self.assertEqual(finished.moves_by_id["m"].status, MoveStatus.DONE)
+        self.assertEqual(finished.moves_by_id["m"].status, MoveStatus.COMPLETED)
         self.assertEqual(finished.services_by_name["plots"].version, "v2")
         self.assertFalse(finished.verdicts_by_publish_id["w"].accepted)
         withdrawn = fold_all(PLOTS, start, withdraw, done)
@@ -122,7 +122,7 @@
                 with self.subTest(others=others):
                     noise = [Configure(1, f"n{i}", "ana") for i in range(others)]
                     state = fold_all(PLOTS, move, ended, *noise, move)
-                    self.assertEqual(state.active_moves(), [])
+                    self.assertEqual(state.active_rollouts(), [])
                     self.assertIn(reason, state.verdicts_by_publish_id["m"].reason)
 
     def test_made_at_must_be_a_version_before_the_record(self) -> None:
--- a/tests/configuration/test_fold_properties.py
+++ b/tests/configuration/test_fold_properties.py
@@ -45,7 +45,7 @@
                 break
             for route in after.routes_by_path.values():
                 self.assertIn(route.service, after.services_by_name)
-            active = [move.service for move in after.active_moves()]
+            active = [move.service for move in after.active_rollouts()]
             self.assertEqual(len(active), len(set(active)))
             state = after
 
--- a/tests/configuration/test_freshness.py
+++ b/tests/configuration/test_freshness.py
@@ -35,31 +35,31 @@
             with self.subTest(name):
                 freshness = Freshness(0.0)
                 if log is not None:
-                    freshness.heard_log(0, log)
+                    freshness.record_log_offset(0, log)
                 for peer, offset in peers.items():
-                    freshness.heard_peer(0, peer, offset)
-                self.assertIs(freshness.decide(held, OWN, others, 0.0), fresh)
+                    freshness.record_fresh_peer(0, peer, offset)
+                self.assertIs(freshness.evaluate(held, OWN, others, 0.0), fresh)
 
     def test_a_pause_begins_a_check_that_older_answers_do_not_end(self) -> None:
         freshness = Freshness(0.0)
-        freshness.heard_log(0, 5)
-        self.assertTrue(freshness.decide(5, OWN, {NEAR}, 0.0))
-        self.assertFalse(freshness.look(1.9))
-        self.assertTrue(freshness.look(4.0))
+        freshness.record_log_offset(0, 5)
+        self.assertTrue(freshness.evaluate(5, OWN, {NEAR}, 0.0))
+        self.assertFalse(freshness.detect_pause(1.9))
+        self.assertTrue(freshness.detect_pause(4.0))
         self.assertFalse(freshness.is_fresh)
-        freshness.heard_log(0, 5)
-        freshness.heard_peer(0, NEAR, 5)
-        self.assertFalse(freshness.decide(5, OWN, {NEAR}, 4.0))
-        freshness.heard_log(freshness.generation, 6)
-        self.assertFalse(freshness.decide(5, OWN, {NEAR}, 4.0))
-        self.assertTrue(freshness.decide(6, OWN, {NEAR}, 4.0))
+        freshness.record_log_offset(0, 5)
+        freshness.record_fresh_peer(0, NEAR, 5)
+        self.assertFalse(freshness.evaluate(5, OWN, {NEAR}, 4.0))
+        freshness.record_log_offset(freshness.generation, 6)
+        self.assertFalse(freshness.evaluate(5, OWN, {NEAR}, 4.0))
+        self.assertTrue(freshness.evaluate(6, OWN, {NEAR}, 4.0))
 
     def test_one_reader_of_the_log_is_enough_after_a_while(self) -> None:
         freshness = Freshness(0.0)
-        freshness.heard_peer(0, NEAR, 5, reads_log=True)
+        freshness.record_fresh_peer(0, NEAR, 5, reads_log=True)
         for now, held, fresh in ((0.0, 5, False), (3.0, 4, False), (3.0, 5, True)):
             with self.subTest(now=now, held=held):
-                self.assertIs(freshness.decide(held, OWN, {NEAR, NEAR2, FAR}, now), fresh)
+                self.assertIs(freshness.evaluate(held, OWN, {NEAR, NEAR2, FAR}, now), fresh)
 
     def test_nodes_that_were_all_paused_trust_many_of_each_other(self) -> None:
         others = {Peer(f"n{i}", "celje-a") for i in range(9)}
@@ -75,12 +75,12 @@
             with self.subTest(name):
                 freshness = Freshness(0.0)
                 for i, peer in enumerate(heard[:count]):
-                    freshness.heard_unready(0, peer, 5, was_fresh and i == 0)
-                self.assertIs(freshness.decide(held, OWN, others, now), fresh)
+                    freshness.record_checking_peer(0, peer, 5, was_fresh and i == 0)
+                self.assertIs(freshness.evaluate(held, OWN, others, now), fresh)
 
     def test_a_version_on_hearsay_holds_up_only_for_a_while(self) -> None:
         freshness = Freshness(0.0)
-        freshness.heard_log(0, 5)
-        freshness.heard_of(9, 0.0)
-        self.assertFalse(freshness.decide(5, OWN, set(), 9.0))
-        self.assertTrue(freshness.decide(5, OWN, set(), 11.0))
+        freshness.record_log_offset(0, 5)
+        freshness.record_advertised_offset(9, 0.0)
+        self.assertFalse(freshness.evaluate(5, OWN, set(), 9.0))
+        self.assertTrue(freshness.evaluate(5, OWN, set(), 11.0))
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -56,8 +56,8 @@
             mock.patch("bulrushflow.configuration.store.MAX_PAGE_BYTES", 350),
         ):
             store.apply(log_records([body] * 20))
-            self.assertIsNone(store.since(9))
-            offsets = {n: [r.offset for r in store.since(n) or []] for n in (10, 18, 20, 99)}
+            self.assertIsNone(store.records_from(9))
+            offsets = {n: [r.offset for r in store.records_from(n) or []] for n in (10, 18, 20, 99)}
         self.assertEqual(offsets, {10: [10, 11, 12], 18: [18, 19], 20: [], 99: []})
 
     def test_a_peer_s_state_that_is_not_one_is_passed_over(self) -> None:
--- a/tests/membership/test_detection.py
+++ b/tests/membership/test_detection.py
@@ -34,8 +34,8 @@
     def test_the_dead_are_passed_over(self) -> None:
         order, table = ProbeOrder(random.Random(1)), table_of(2, 0)
         self.assertIsNotNone(order.next(table))
-        table.mark("n0", Status.DEAD, 0.0)
-        table.mark("n1", Status.DEAD, 0.0)
+        table.raise_status("n0", Status.DEAD, 0.0)
+        table.raise_status("n1", Status.DEAD, 0.0)
         self.assertEqual([order.next(table) for _ in range(8)], [None] * 8)
 
 
@@ -47,7 +47,13 @@
     def test_doubt_rises_with_failures_and_stalls_and_falls_with_acks(self) -> None:
         health = LocalHealth()
         seen = []
-        for step in [health.fail, health.fail, health.succeed, health.stall, health.succeed]:
+        for step in [
+            health.record_silence,
+            health.record_silence,
+            health.record_ack,
+            health.record_pause,
+            health.record_ack,
+        ]:
             step()
             seen.append(health.multiplier)
         self.assertEqual(seen, [2, 3, 2, 5, 4])
--- a/tests/membership/test_news.py
+++ b/tests/membership/test_news.py
@@ -17,25 +17,25 @@
         queue.add("suspect", Priority.SUSPECT)
         queue.add("joined", Priority.ALIVE)
         queue.add("leaving", Priority.URGENT)
-        first = queue.take(20, lambda _: 10, 2)
+        first = queue.next_batch(20, lambda _: 10, 2)
         self.assertEqual(first, ["leaving", "joined"])
         told = first
         while queue:
-            told = told + queue.take(20, lambda _: 10, 2)
+            told = told + queue.next_batch(20, lambda _: 10, 2)
         self.assertEqual(sorted(told), sorted(["leaving", "joined", "suspect"] * 2))
 
     def test_items_no_longer_known_are_dropped_untold(self) -> None:
         queue: NewsQueue[str] = NewsQueue()
         queue.add("gone", Priority.ALIVE)
-        self.assertEqual(queue.take(100, lambda _: 0, 9), [])
+        self.assertEqual(queue.next_batch(100, lambda _: 0, 9), [])
         self.assertEqual(len(queue), 0)
 
     def test_doubts_can_be_dropped_alone(self) -> None:
         queue: NewsQueue[str] = NewsQueue()
         for priority in Priority:
             queue.add(priority.name, priority)
-        queue.drop(Priority.SUSPECT)
-        self.assertEqual(queue.take(100, lambda _: 1, 1), ["URGENT", "ALIVE"])
+        queue.discard_from(Priority.SUSPECT)
+        self.assertEqual(queue.next_batch(100, lambda _: 1, 1), ["URGENT", "ALIVE"])
 
     @settings(max_examples=60)
     @given(
@@ -50,7 +50,7 @@
             queue.add(key, key % 4)
         counts = dict.fromkeys(sizes, 0)
         while queue:
-            taken = queue.take(budget, sizes.__getitem__, 3)
+            taken = queue.next_batch(budget, sizes.__getitem__, 3)
             self.assertLessEqual(sum(sizes[k] for k in taken), budget)
             for key in taken:
                 counts[key] += 1
--- a/tests/membership/test_table.py
+++ b/tests/membership/test_table.py
@@ -113,19 +113,19 @@
                 peers = MemberTable(OWN)
                 peers.merge(replace(PEER, incarnation=900), 0.0)
                 if status is not Status.ALIVE:
-                    peers.mark("a", status, 0.0)
+                    peers.raise_status("a", status, 0.0)
                 if name == "forgotten":
                     peers.reap(REMEMBER_DEAD_S)
                 restarted = MemberTable(replace(PEER, incarnation=100, peer_port=9))
                 own = restarted.own
                 self.assertFalse(peers.merge(own, 1.0))
-                told = peers.overrules("a", own.incarnation, own.endpoint)
+                told = peers.update_to_refute("a", own.incarnation, own.endpoint)
                 assert told is not None
                 self.assertTrue(restarted.merge(told, 1.0))
                 self.assertTrue(peers.merge(restarted.own, 1.0))
                 self.assertEqual(peers.by_id["a"].peer_port, 9)
                 self.assertIsNone(
-                    peers.overrules("a", restarted.own.incarnation, restarted.own.endpoint)
+                    peers.update_to_refute("a", restarted.own.incarnation, restarted.own.endpoint)
                 )
 
     def test_two_processes_with_one_id_are_counted_and_refute_seldom(self) -> None:
@@ -166,7 +166,7 @@
         table = MemberTable(OWN)
         for i in range(MAX_DEAD + 10):
             table.merge(replace(PEER, node_id=f"n{i}"), float(i))
-            table.mark(f"n{i}", Status.DEAD, float(i) / 100)
+            table.raise_status(f"n{i}", Status.DEAD, float(i) / 100)
         table.reap(50.0)
         self.assertEqual(len(table.dead()), MAX_DEAD)
         self.assertNotIn("n0", table.by_id)
@@ -212,7 +212,7 @@
 
     @rule(node_id=st.sampled_from(["a", "b", "c"]), status=st.sampled_from(Status))
     def mark(self, node_id: str, status: Status) -> None:
-        self.table.mark(node_id, status, self.now)
+        self.table.raise_status(node_id, status, self.now)
 
     @rule(seconds=st.sampled_from([1.0, REMEMBER_DEAD_S]))
     def reap(self, seconds: float) -> None:
@@ -225,8 +225,8 @@
         table = self.table
         members = list(table.by_id.values())
         live = [m for m in members if m.is_live]
-        assert_same(table.alive(), live)
-        assert_same(table.others(), [m for m in live if m.node_id != "own"])
+        assert_same(table.live_members(), live)
+        assert_same(table.live_peers(), [m for m in live if m.node_id != "own"])
         for data_centre in ("celje-a", "velenje"):
             near = [m for m in live if m.data_centre == data_centre]
             assert_same(table.in_data_centre(data_centre), near)
--- a/tests/moves/test_evidence.py
+++ b/tests/moves/test_evidence.py
@@ -22,18 +22,18 @@
         book = EvidenceBook("n1", 1)
         for calls in (5, 9, 5, 9):
             book.merge(evidence("n2", calls), 1.0)
-        self.assertEqual(book.total(7)["v2", "/dues"].calls, 9)
+        self.assertEqual(book.totals(7)["v2", "/dues"].calls, 9)
 
     def test_a_restarted_node_adds_to_what_it_counted_before(self) -> None:
         book = EvidenceBook("n1", 1)
         book.merge(evidence("n2", 9, incarnation=1), 1.0)
         book.merge(evidence("n2", 2, incarnation=2), 2.0)
-        self.assertEqual(book.total(7)["v2", "/dues"].calls, 11)
+        self.assertEqual(book.totals(7)["v2", "/dues"].calls, 11)
 
     def test_own_evidence_is_not_taken_from_others(self) -> None:
         book = EvidenceBook("n1", 1)
         book.merge(evidence("n1", 50, incarnation=1), 1.0)
-        self.assertEqual(book.total(7), {})
+        self.assertEqual(book.totals(7), {})
 
     def test_routes_beyond_the_bound_share_one_entry(self) -> None:
         made = Evidence(7, "n2")
@@ -46,26 +46,26 @@
     def test_finished_moves_are_dropped(self) -> None:
         book = EvidenceBook("n1", 1)
         book.merge(evidence("n2", 9), 1.0)
-        book.keep_only({8})
-        self.assertEqual(book.by_move, {})
-        self.assertIsNone(book.heard_at(7, "n2"))
+        book.retain({8})
+        self.assertEqual(book.by_rollout, {})
+        self.assertIsNone(book.last_report_at(7, "n2"))
 
 
 class WarmUpTests(unittest.TestCase):
     def test_a_target_is_warm_after_enough_time_and_calls(self) -> None:
         warm_up = WarmUp()
-        warm_up.follow("v2")
-        early = [warm_up.is_warming(100.0 + i) for i in range(2)]
-        late = [warm_up.is_warming(100.0 + WARM_UP_S) for _ in range(WARM_UP_CALLS)]
+        warm_up.set_version("v2")
+        early = [warm_up.count_call(100.0 + i) for i in range(2)]
+        late = [warm_up.count_call(100.0 + WARM_UP_S) for _ in range(WARM_UP_CALLS)]
         self.assertEqual(early, [True, True])
         self.assertEqual(late, [True] * (WARM_UP_CALLS - 2) + [False, False])
 
     def test_a_new_target_warms_up_anew_and_a_renewed_one_does_not(self) -> None:
         warm_up = WarmUp()
-        warm_up.follow("v1")
+        warm_up.set_version("v1")
         for _ in range(WARM_UP_CALLS):
-            warm_up.is_warming(0.0)
-        warm_up.follow("v1")
-        self.assertFalse(warm_up.is_warming(WARM_UP_S))
-        warm_up.follow("v2")
-        self.assertTrue(warm_up.is_warming(WARM_UP_S))
+            warm_up.count_call(0.0)
+        warm_up.set_version("v1")
+        self.assertFalse(warm_up.count_call(WARM_UP_S))
+        warm_up.set_version("v2")
+        self.assertTrue(warm_up.count_call(WARM_UP_S))
--- a/tests/moves/test_pace.py
+++ b/tests/moves/test_pace.py
@@ -28,8 +28,8 @@
     now_s = begins_s
     while now_s <= plan.finish_by_s + 1:
         pace = next_pace(plan, share, judged, now_s, now_s - stage_started_s)
-        if pace.done or pace.take_back:
-            return ("done" if pace.done else "taken back"), now_s, shares
+        if pace.completed or pace.roll_back:
+            return ("done" if pace.completed else "taken back"), now_s, shares
         if pace.share_permille > share:
             share, stage_started_s = pace.share_permille, now_s
             shares.append(share)
@@ -61,9 +61,9 @@
         judged = verdict(judgement, calls)
         pace = next_pace(Plan(100, 50), share, judged, now_s, min(stage_s, now_s))
         self.assertGreaterEqual(pace.share_permille, share)
-        self.assertFalse(pace.done and pace.take_back)
-        self.assertEqual(pace.take_back, pace.take_back or judgement is Judgement.FAULTY)
-        if pace.done:
+        self.assertFalse(pace.completed and pace.roll_back)
+        self.assertEqual(pace.roll_back, pace.roll_back or judgement is Judgement.FAULTY)
+        if pace.completed:
             self.assertGreaterEqual(share, FULL_PERMILLE)
 
     def test_a_late_start_is_made_up_for(self) -> None:
@@ -89,7 +89,7 @@
             with self.subTest(calls=calls, strength=strength):
                 judged = Verdict(Judgement.INSUFFICIENT, "rule", "evidence", calls, strength)
                 pace = next_pace(Plan(100, 50), 950, judged, 97.0, 10.0)
-                self.assertEqual("done" if pace.done else "", expected)
+                self.assertEqual("done" if pace.completed else "", expected)
 
     def test_a_deadline_at_risk_is_told_before_it_passes(self) -> None:
         cases = {
@@ -105,7 +105,7 @@
 
     def test_a_baked_move_is_done_also_when_its_record_is_late(self) -> None:
         pace = next_pace(Plan(100, 50), 950, HEALTHY, 130.0, 60.0)
-        self.assertTrue(pace.done)
+        self.assertTrue(pace.completed)
 
     def test_the_first_share_is_higher_where_calls_are_few(self) -> None:
         shares = [
@@ -125,18 +125,18 @@
         return next_pace(plan, 800, judged, 11.0, 0.8)
 
     def test_a_sign_that_grows_at_a_share_ends_a_move_before_its_calls_are_used_up(self) -> None:
-        self.assertTrue(self.pace(0.5, 0.1, 200).take_back)
-        self.assertFalse(self.pace(0.3, 0.1, 200).take_back)
-        self.assertFalse(self.pace(0.5, 0.1, 100).take_back)
+        self.assertTrue(self.pace(0.5, 0.1, 200).roll_back)
+        self.assertFalse(self.pace(0.3, 0.1, 200).roll_back)
+        self.assertFalse(self.pace(0.5, 0.1, 100).roll_back)
 
     def test_a_sign_that_fades_is_waited_for_while_calls_are_left(self) -> None:
-        self.assertFalse(self.pace(0.5, 0.6, 299).take_back)
-        self.assertTrue(self.pace(0.5, 0.6, 300).take_back)
+        self.assertFalse(self.pace(0.5, 0.6, 299).roll_back)
+        self.assertTrue(self.pace(0.5, 0.6, 300).roll_back)
 
     def test_a_version_that_can_not_be_raised_any_more_is_taken_back(self) -> None:
         for used, taken_back in ((299, False), (300, True)):
             pace = next_pace(Plan(14, 200, Exposure(300, used)), 100, HEALTHY, 8.0, 1.0)
-            self.assertEqual(pace.take_back, taken_back)
+            self.assertEqual(pace.roll_back, taken_back)
 
     def test_no_share_is_raised_that_the_rest_of_the_calls_does_not_allow(self) -> None:
         for used, raised in ((0, True), (250, False)):
--- a/tests/moves/test_shared.py
+++ b/tests/moves/test_shared.py
@@ -64,7 +64,7 @@
         self.views[node].merge(state)
         held = self.views[node].by_offset[OFFSET]
         self.sent.append(held)
-        if held.taken_back:
+        if held.rolled_back:
             self.saw_taken_back[node] = True
 
     @invariant()
@@ -72,7 +72,7 @@
         for view, seen in zip(self.views, self.saw_taken_back, strict=True):
             if seen:
                 assert view.share_permille(OFFSET) == 0
-                assert view.is_taken_back(OFFSET)
+                assert view.is_rolled_back(OFFSET)
 
     def teardown(self) -> None:
         for view in self.views:
--- a/tests/moves/test_verdict.py
+++ b/tests/moves/test_verdict.py
@@ -70,10 +70,10 @@
         for _ in range(count):
             tick += 1
             step(totals)
-            verdict = judge.judge(totals.counts, 100, tick / 2)
-            if verdict.judgement is Judgement.FAULTY:
-                return verdict.judgement, verdict.rule, tick
-    return verdict.judgement, verdict.rule, tick
+            verdict = judge.update(totals.counts, 100, tick / 2)
+            if verdict.outcome is Judgement.FAULTY:
+                return verdict.outcome, verdict.rule, tick
+    return verdict.outcome, verdict.rule, tick
 
 
 class VerdictTests(unittest.TestCase):
@@ -114,12 +114,12 @@
     def test_a_stage_needs_calls_on_each_route_with_traffic(self) -> None:
         judge = Judge(OLD, NEW, 0.0)
         totals = Totals()
-        judge.judge(totals.counts, 100, 0.5)
+        judge.update(totals.counts, 100, 0.5)
         totals.add(OLD, 100)
         totals.add(OLD, 100, route="/yearly")
         totals.add(NEW, 100)
-        verdict = judge.judge(totals.counts, 100, 1.0)
-        self.assertIs(verdict.judgement, Judgement.INSUFFICIENT)
+        verdict = judge.update(totals.counts, 100, 1.0)
+        self.assertIs(verdict.outcome, Judgement.INSUFFICIENT)
         self.assertIn("/yearly", verdict.evidence)
 
     def test_calls_before_the_share_was_raised_do_not_count_for_the_stage(self) -> None:
@@ -127,5 +127,5 @@
         totals = Totals()
         totals.add(OLD, 100)
         totals.add(NEW, 100)
-        self.assertIs(judge.judge(totals.counts, 0, 1.0).judgement, Judgement.HEALTHY)
-        self.assertEqual(judge.judge(totals.counts, 500, 2.0).stage_calls, 0)
+        self.assertIs(judge.update(totals.counts, 0, 1.0).outcome, Judgement.HEALTHY)
+        self.assertEqual(judge.update(totals.counts, 500, 2.0).stage_calls, 0)
--- a/tests/moves/test_versions.py
+++ b/tests/moves/test_versions.py
@@ -25,7 +25,7 @@
     gate = VersionGate()
     for count in range(len(records) + 1):
         configuration: Configuration = fold_all(*records[:count])
-        gate.follow(configuration, float(count))
+        gate.update(configuration, float(count))
     return gate
 
 
--- a/tests/nodes/test_detector.py
+++ b/tests/nodes/test_detector.py
@@ -86,7 +86,7 @@
                 self.assertIs(self.table.by_id["peer"].status, expected)
 
     async def test_after_a_pause_nobody_is_judged_before_an_answer(self) -> None:
-        self.table.mark("peer", Status.SUSPECT, self.pinger.now)
+        self.table.raise_status("peer", Status.SUSPECT, self.pinger.now)
         self.pinger.now += 60.0
         await self.detector.expire_suspects()
         self.assertEqual(self.pinger.refreshed, 1)
@@ -119,7 +119,7 @@
     async def test_members_held_dead_are_asked_while_they_answer(self) -> None:
         for i in range(3):
             self.table.merge(replace(PEER, node_id=f"dead{i}"), 0.0)
-            self.table.mark(f"dead{i}", Status.DEAD, 0.0)
+            self.table.raise_status(f"dead{i}", Status.DEAD, 0.0)
         await self.detector.reconnect()
         self.assertEqual(len(self.pinger.timeouts), 1)
         self.pinger.direct = True
--- a/tests/nodes/test_driving.py
+++ b/tests/nodes/test_driving.py
@@ -36,7 +36,7 @@
     dead.paused = True
     dead.cut_off = True
     for node in mesh.nodes:
-        node.table.mark(dead.table.own_id, Status.DEAD, 0.0)
+        node.table.raise_status(dead.table.own_id, Status.DEAD, 0.0)
 
 
 def all_together(mesh: Mesh) -> None:
@@ -56,7 +56,7 @@
         mesh = Mesh()
         await mesh.run(SPAN_S)
         move = self.move(mesh)
-        self.assertIs(move.status, MoveStatus.DONE)
+        self.assertIs(move.status, MoveStatus.COMPLETED)
         self.assertLess(move.finished_at_ms, move.finish_by_ms)
         shares = [step.share_permille for step in move.steps]
         self.assertEqual(shares, sorted(set(shares)))
@@ -97,7 +97,7 @@
                 self.assertEqual(mesh.new_calls, calls)
                 mesh.log_down = False
                 await mesh.run(10)
-                self.assertIs(self.move(mesh).status, MoveStatus.TAKEN_BACK)
+                self.assertIs(self.move(mesh).status, MoveStatus.ROLLED_BACK)
                 self.assertIn("errors", self.move(mesh).reason)
 
     async def test_a_driver_that_wakes_raises_nothing_on_old_evidence(self) -> None:
@@ -121,15 +121,15 @@
         await self.run_until_shared(mesh)
         driver_dead(mesh)
         await mesh.run(SPAN_S)
-        self.assertIs(self.move(mesh).status, MoveStatus.DONE)
+        self.assertIs(self.move(mesh).status, MoveStatus.COMPLETED)
 
     async def test_two_drivers_at_once_leave_one_account(self) -> None:
         mesh = Mesh()
         second = mesh.nodes[0] if mesh.nodes[0] is not mesh.driver else mesh.nodes[1]
-        second.table.mark(mesh.driver.table.own_id, Status.DEAD, 0.0)
+        second.table.raise_status(mesh.driver.table.own_id, Status.DEAD, 0.0)
         await mesh.run(SPAN_S)
         move = self.move(mesh)
-        self.assertIs(move.status, MoveStatus.DONE)
+        self.assertIs(move.status, MoveStatus.COMPLETED)
         shares = [step.share_permille for step in move.steps]
         self.assertEqual(len(shares), len(set(shares)))
 
@@ -145,7 +145,7 @@
         driver = mesh.driver
         mesh.nodes.sort(key=lambda node: node is not driver)
         await mesh.run(10)
-        self.assertIs(self.move(mesh).status, MoveStatus.TAKEN_BACK)
+        self.assertIs(self.move(mesh).status, MoveStatus.ROLLED_BACK)
 
     async def test_a_move_without_ready_targets_is_told_early_and_taken_back(self) -> None:
         mesh = Mesh(new_nodes=0)
@@ -153,7 +153,7 @@
         step = self.move(mesh).steps[0]
         self.assertIn("at risk: no ready target", step.rule)
         await mesh.run(SPAN_S)
-        self.assertIs(self.move(mesh).status, MoveStatus.TAKEN_BACK)
+        self.assertIs(self.move(mesh).status, MoveStatus.ROLLED_BACK)
         self.assertIn("deadline", self.move(mesh).reason)
 
     async def test_missing_evidence_is_told_before_the_deadline(self) -> None:
@@ -182,7 +182,7 @@
         await mesh.run(5)
         reporting = [n for n in mesh.nodes if n is not mesh.nodes[1] and n is not mesh.driver]
         for node in reporting:
-            heard_at = mesh.driver.driver.book.heard_at(MOVE_OFFSET, node.table.own_id)
+            heard_at = mesh.driver.driver.book.last_report_at(MOVE_OFFSET, node.table.own_id)
             self.assertIsNotNone(heard_at)
 
     async def test_after_done_the_old_version_is_refused_only_after_a_while(self) -> None:
--- a/tests/nodes/test_exchange.py
+++ b/tests/nodes/test_exchange.py
@@ -74,5 +74,5 @@
         joiner = await self.fleet.add("joiner", settings=IDLE, join=False)
         gone = ("127.0.0.1", 1)
         self.assertTrue(await joiner.gossip.join(gone, full.endpoint, ("127.0.0.1", 2)))
-        self.assertEqual(len(joiner.table.others()), 11)
+        self.assertEqual(len(joiner.table.live_peers()), 11)
         self.assertFalse(await joiner.gossip.join(gone))
--- a/tests/nodes/test_gossip.py
+++ b/tests/nodes/test_gossip.py
@@ -92,7 +92,7 @@
     async def test_a_suspected_node_is_told_and_refutes(self) -> None:
         first = await self.fleet.add("first", settings=IDLE)
         second = await self.fleet.add("second", settings=IDLE)
-        claim = first.table.mark("second", Status.SUSPECT, 0.0)
+        claim = first.table.raise_status("second", Status.SUSPECT, 0.0)
         assert claim is not None
         first.gossip._changed(claim)
         await until(lambda: first.statuses()["second"] is Status.ALIVE)
@@ -130,7 +130,7 @@
                 for other in near + far:
                     peer.gossip._merge_member(other.table.own, None, True, 0.0)
                 for other in other_side:
-                    claim = peer.table.mark(other.node_id, Status.DEAD, 0.0)
+                    claim = peer.table.raise_status(other.node_id, Status.DEAD, 0.0)
                     assert claim is not None
                     peer.gossip._changed(claim)
                 peer.seen.clear()
--- a/tests/nodes/test_log_reader.py
+++ b/tests/nodes/test_log_reader.py
@@ -62,13 +62,13 @@
         log = log_with_snapshots(4, 15)
         self.start(log)
         await until(lambda: self.store.current.offset == 19)
-        self.assertIsNone(self.store.since(14))
-        self.assertIsNotNone(self.store.since(15))
+        self.assertIsNone(self.store.records_from(14))
+        self.assertIsNotNone(self.store.records_from(15))
 
     async def test_a_long_log_without_a_snapshot_is_read_whole(self) -> None:
         self.start(MemoryLog([change(i) for i in range(20)]))
         await until(lambda: self.store.current.offset == 19)
-        self.assertIsNotNone(self.store.since(0))
+        self.assertIsNotNone(self.store.records_from(0))
 
     async def test_a_missing_offset_is_a_failure_and_not_skipped(self) -> None:
         log = MemoryLog([change(i) for i in range(5)])
--- a/tests/nodes/test_reporting.py
+++ b/tests/nodes/test_reporting.py
@@ -56,7 +56,7 @@
 
     async def test_an_unreachable_receiver_holds_up_no_other(self) -> None:
         book = EvidenceBook("n0", 1)
-        book.own(7).observe("v2", "/dues", False, 0.01)
+        book.local(7).observe("v2", "/dues", False, 0.01)
         sender = StuckSender(0)
         reporting = Reporting(book, "n0", sender)
         reporting.report(MOVE, GROUP, 0.0)
@@ -67,7 +67,7 @@
         sender = StuckSender(stuck)
         reporting = Reporting(book, "n0", sender)
         for i in range(5):
-            book.own(7).observe("v2", "/dues", False, 0.01)
+            book.local(7).observe("v2", "/dues", False, 0.01)
             reporting.report(MOVE, GROUP, 10.0 * i)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
@@ -103,4 +103,4 @@
         )
         report = messages.EvidenceReport(move=7, node_id="n1", sequence=1, routes=[route])
         Reporting(book, "n0", StuckSender(0)).take(report, 1.0)
-        self.assertEqual(book.total(7), {})
+        self.assertEqual(book.totals(7), {})
--- a/tests/nodes/test_synchronizing.py
+++ b/tests/nodes/test_synchronizing.py
@@ -87,8 +87,8 @@
 
     def test_that_members_are_dead_is_not_handed_on(self) -> None:
         first, second = Side(range(3)), Side(range(3))
-        second.table.mark("n1", Status.DEAD, 0.0)
-        second.table.mark("n2", Status.LEFT, 0.0)
+        second.table.raise_status("n1", Status.DEAD, 0.0)
+        second.table.raise_status("n2", Status.LEFT, 0.0)
         second.synchronizer.answer_digests(PEER, first.table.bucket_digests())
         first.take(second.sent)
         self.assertIs(first.table.by_id["n1"].status, Status.ALIVE)
--- a/tests/operators/test_client.py
+++ b/tests/operators/test_client.py
@@ -43,7 +43,7 @@
         async with OperatorClient(self.bench.url, self.node_url, GUARD_S) as client:
             self.assertEqual((await client.publish(FIRST)).unwrap().offset, 0)
         await self._read()
-        bodies = [record.body for record in self.store.since(0) or []]
+        bodies = [record.body for record in self.store.records_from(0) or []]
         self.assertEqual(bodies, [bodies[0]] * 3)
         self.assertIn(b'"made_at":-1', bodies[0])
 
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -136,8 +136,8 @@
     def test_a_status_is_read_back_and_shows_the_operators_words(self) -> None:
         words = {
             MovePhase.RUNNING: "running",
-            MovePhase.DONE: "completed",
-            MovePhase.TAKEN_BACK: "rolled_back",
+            MovePhase.COMPLETED: "completed",
+            MovePhase.ROLLED_BACK: "rolled_back",
         }
         for phase, word in words.items():
             status = MoveStatus("s1", "v2", 5, 3, 100, phase, 1, 2, "why", "n-1")
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -43,9 +43,11 @@
 
     async def test_a_condition_that_does_not_hold_is_a_conflict(self) -> None:
         self.stand_in.put("t", "a", b"1")
-        error = (await self.store.append("t", [StoreWrite("a", b"2")], as_of=0)).unwrap_err()
+        error = (await self.store.append("t", [StoreWrite("a", b"2")], expected_end=0)).unwrap_err()
         self.assertIs(error.kind, StoreErrorKind.CONFLICT)
-        self.assertTrue((await self.store.append("t", [StoreWrite("a", b"2")], as_of=1)).is_ok())
+        self.assertTrue(
+            (await self.store.append("t", [StoreWrite("a", b"2")], expected_end=1)).is_ok()
+        )
 
     async def test_failures_say_whether_anything_may_have_been_done(self) -> None:
         for status, kind in (
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -40,7 +40,7 @@
 
         async def recorded() -> bool:
             moves = [await self.move(node.operator_url) for node in fleet.nodes]
-            return all(m.move.status is MoveStatus.TAKEN_BACK for m in moves)
+            return all(m.move.status is MoveStatus.ROLLED_BACK for m in moves)
 
         await until(recorded, "the take-back on the log and on every node")
         account = await self.account()
--- a/tests/routing/test_queues.py
+++ b/tests/routing/test_queues.py
@@ -18,35 +18,35 @@
     def test_takes_turns_between_tenants(self) -> None:
         queue: FairQueue[str] = FairQueue(10)
         for item in ("a1", "a2", "a3", "b1"):
-            queue.offer(item, item[0], 10.0)
-        self.assertEqual([queue.take(0.0, 0.0)[0] for _ in range(4)], ["a1", "b1", "a2", "a3"])
+            queue.push(item, item[0], 10.0)
+        self.assertEqual([queue.pop(0.0, 0.0)[0] for _ in range(4)], ["a1", "b1", "a2", "a3"])
 
     def test_a_full_queue_takes_from_the_longest_tenant(self) -> None:
         queue: FairQueue[str] = FairQueue(2)
-        self.assertIsNone(queue.offer("a1", "a", 10.0))
-        self.assertIsNone(queue.offer("a2", "a", 10.0))
-        self.assertEqual(queue.offer("a3", "a", 10.0), "a3")
-        self.assertEqual(queue.offer("b1", "b", 10.0), "a2")
-        self.assertEqual(queue.offer("c1", "c", 10.0), "c1")
+        self.assertIsNone(queue.push("a1", "a", 10.0))
+        self.assertIsNone(queue.push("a2", "a", 10.0))
+        self.assertEqual(queue.push("a3", "a", 10.0), "a3")
+        self.assertEqual(queue.push("b1", "b", 10.0), "a2")
+        self.assertEqual(queue.push("c1", "c", 10.0), "c1")
 
     def test_drops_what_cannot_meet_its_deadline(self) -> None:
         queue: FairQueue[str] = FairQueue(10)
-        queue.offer("late", "a", 1.0)
-        queue.offer("soon", "a", 3.0)
-        self.assertEqual(queue.take(1.0, 0.5), ("soon", ["late"]))
+        queue.push("late", "a", 1.0)
+        queue.push("soon", "a", 3.0)
+        self.assertEqual(queue.pop(1.0, 0.5), ("soon", ["late"]))
 
     def test_wait_grows_with_the_own_tenants_calls_only(self) -> None:
         queue: FairQueue[int] = FairQueue(100)
         for i in range(50):
-            queue.offer(i, "heavy", 10.0)
-        self.assertEqual(queue.wait_s("heavy", 0.1, 10), 51 * 0.1 / 10)
-        self.assertEqual(queue.wait_s("light", 0.1, 10), 2 * 0.1 / 10)
+            queue.push(i, "heavy", 10.0)
+        self.assertEqual(queue.estimated_wait_s("heavy", 0.1, 10), 51 * 0.1 / 10)
+        self.assertEqual(queue.estimated_wait_s("light", 0.1, 10), 2 * 0.1 / 10)
 
     def test_tenants_are_bounded(self) -> None:
         queue: FairQueue[int] = FairQueue(10 * MAX_TENANTS)
         for i in range(5 * MAX_TENANTS):
-            self.assertIsNone(queue.offer(i, str(i), 10.0))
-        taken = {queue.take(0.0, 0.0)[0] for _ in range(5 * MAX_TENANTS)}
+            self.assertIsNone(queue.push(i, str(i), 10.0))
+        taken = {queue.pop(0.0, 0.0)[0] for _ in range(5 * MAX_TENANTS)}
         self.assertEqual(len(taken), 5 * MAX_TENANTS)
 
 
@@ -63,13 +63,13 @@
     def offer(self, tenant: str, deadline: float) -> None:
         self.offered += 1
         self.held[self.offered] = deadline
-        evicted = self.queue.offer(self.offered, tenant, deadline)
+        evicted = self.queue.push(self.offered, tenant, deadline)
         if evicted is not None:
             del self.held[evicted]
 
     @rule(now=st.floats(0, 10))
     def take(self, now: float) -> None:
-        item, late = self.queue.take(now, 0.0)
+        item, late = self.queue.pop(now, 0.0)
         for missed in late:
             assert self.held.pop(missed) <= now
         if item is not None:
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -47,9 +47,9 @@
         earned = spent = 0
         for earns in events:
             if earns:
-                budget.earn()
+                budget.replenish()
                 earned += 1
-            elif budget.spend():
+            elif budget.try_consume():
                 spent += 1
             self.assertLessEqual(spent, BUDGET_MAX_TOKENS + earned * BUDGET_RATIO + 1e-6)
 
--- a/tests/sidecar/samples.py
+++ b/tests/sidecar/samples.py
@@ -72,7 +72,7 @@
         deadline=asyncio.get_running_loop().time() + timeout_s,
         idempotent=idempotent,
         attempt=attempt,
-        useful_until=asyncio.get_running_loop().time() + timeout_s,
+        late_after=asyncio.get_running_loop().time() + timeout_s,
     )
 
 
@@ -82,19 +82,19 @@
     def __init__(self) -> None:
         self.records: list[KeyedRecord] = []
         self.reads: list[tuple[int, float]] = []
-        self.deaf = False
-        self.fails = False
-        self.first = 0
+        self.misses_wakeups = False
+        self.unavailable = False
+        self.first_offset = 0
         self._appended = asyncio.Event()
 
     def put(self, key: str, value: bytes) -> None:
         self.records.append(KeyedRecord(key, value, len(self.records)))
-        if not self.deaf:
+        if not self.misses_wakeups:
             self._appended.set()
             self._appended = asyncio.Event()
 
     async def newest(self, topic: str) -> Result[StorePage, StoreError]:
-        if self.fails:
+        if self.unavailable:
             return Err(StoreError(StoreErrorKind.REFUSED, "down"))
         newest = {record.key: record for record in self.records}
         return Ok(StorePage(tuple(newest.values()), len(self.records)))
@@ -103,20 +103,20 @@
         self, topic: str, from_offset: int, wait_s: float
     ) -> Result[StorePage, StoreError]:
         self.reads.append((from_offset, wait_s))
-        if self.fails:
+        if self.unavailable:
             return Err(StoreError(StoreErrorKind.REFUSED, "down"))
-        if from_offset < self.first:
+        if from_offset < self.first_offset:
             return Err(StoreError(StoreErrorKind.TRIMMED, "gone"))
         if from_offset >= len(self.records) and wait_s:
             await self._appended.wait()
         return Ok(StorePage(tuple(self.records[from_offset:]), len(self.records)))
 
     async def append(
-        self, topic: str, writes: t.Sequence[StoreWrite], as_of: int | None = None
+        self, topic: str, writes: t.Sequence[StoreWrite], expected_end: int | None = None
     ) -> Result[int, StoreError]:
-        if self.fails:
+        if self.unavailable:
             return Err(StoreError(StoreErrorKind.REFUSED, "down"))
-        if as_of is not None and as_of != len(self.records):
+        if expected_end is not None and expected_end != len(self.records):
             return Err(StoreError(StoreErrorKind.CONFLICT, "others appended"))
         offset = len(self.records)
         for write in writes:
--- a/tests/sidecar/servers.py
+++ b/tests/sidecar/servers.py
@@ -11,14 +11,14 @@
     """Answers calls with their id and a signature; holds them while told to."""
 
     def __init__(self) -> None:
-        self.arrived: list[str] = []
-        self.ended: list[str] = []
+        self.received: list[str] = []
+        self.completed: list[str] = []
         self.cancelled: list[str] = []
-        self.held = asyncio.Event()
-        self.held.set()
+        self.released = asyncio.Event()
+        self.released.set()
         self.status = 200
         self.not_run = False
-        self.signs = True
+        self.signs_responses = True
         self.wrong_id = False
         self._runner: web.ServerRunner | None = None
 
@@ -30,21 +30,21 @@
         return Endpoint(*self._runner.addresses[0][:2])
 
     async def stop(self) -> None:
-        self.held.set()
+        self.released.set()
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def _handle(self, request: web.BaseRequest) -> web.Response:
         call_id = request.headers["X-Id"]
-        self.arrived.append(call_id)
+        self.received.append(call_id)
         try:
-            await self.held.wait()
+            await self.released.wait()
         except asyncio.CancelledError:
             self.cancelled.append(call_id)
             raise
-        self.ended.append(call_id)
+        self.completed.append(call_id)
         headers = {"X-Id": "other" if self.wrong_id else call_id}
-        if self.signs:
+        if self.signs_responses:
             headers["X-Sign"] = "s"
         if self.not_run:
             headers["X-Not-Run"] = "1"
--- a/tests/sidecar/test_application.py
+++ b/tests/sidecar/test_application.py
@@ -23,7 +23,7 @@
 
 
 class Adapter(PlatformAdapter):
-    names = NAMES
+    header_names = NAMES
 
 
 def free_port(address: str) -> int:
@@ -81,7 +81,7 @@
         return Sidecar(self.settings, PlatformStore(self.settings.store), Adapter())
 
     async def until_serving(self) -> None:
-        await until(lambda: len(self.sidecar.directory.ready("s1")) == 2)
+        await until(lambda: len(self.sidecar.directory.ready_peers("s1")) == 2)
         await until(self.sidecar.is_ready)
 
     async def until_version(self, version: int) -> None:
@@ -151,7 +151,7 @@
         await self.serve()
         for i in range(40):
             self.assertEqual(await self.call(i % 2, f"c-{i}"), (200, b"body"))
-        self.assertTrue(all(target.arrived for target in self.targets))
+        self.assertTrue(all(target.received for target in self.targets))
         self.assertEqual((await self.call(0, "c-x", "/other/"))[0], 404)
 
     async def test_a_leaving_target_gets_nothing_after_its_acknowledgement(self) -> None:
@@ -161,7 +161,7 @@
         self.assertEqual(json.loads(written)["target"]["state"], "draining")
         for i in range(20):
             self.assertEqual((await self.call(i % 2, f"c-{i}"))[0], 200)
-        self.assertEqual(self.targets[1].arrived, [])
+        self.assertEqual(self.targets[1].received, [])
 
     async def test_a_leave_is_acknowledged_while_the_store_is_away(self) -> None:
         await self.serve()
@@ -170,7 +170,7 @@
             self.assertEqual(await self.announce(1, "draining", 2), 200)
         for i in range(20):
             self.assertEqual((await self.call(i % 2, f"c-{i}"))[0], 200)
-        self.assertEqual(self.targets[1].arrived, [])
+        self.assertEqual(self.targets[1].received, [])
 
     async def test_an_older_configuration_is_not_taken(self) -> None:
         await self.serve()
@@ -192,10 +192,10 @@
         self.addAsyncCleanup(again.stop)
         await until(again.is_ready)
 
-        await until(lambda: len(again.directory.ready("s1")) == 2)
+        await until(lambda: len(again.directory.ready_peers("s1")) == 2)
         for i in range(20):
             self.assertEqual((await self.call(1, f"c-{i}"))[0], 200)
-        self.assertTrue(self.targets[1].arrived)
+        self.assertTrue(self.targets[1].received)
 
     async def test_a_caller_that_leaves_as_it_is_answered_is_no_error_of_the_server(self) -> None:
         await self.serve()
@@ -210,14 +210,14 @@
     async def test_a_stop_lets_a_call_in_flight_end(self) -> None:
         await self.serve()
         for target in self.targets:
-            target.held.clear()
+            target.released.clear()
         calls = [asyncio.ensure_future(self.call(0, f"c-{i}")) for i in range(4)]
-        arrived = [target.arrived for target in self.targets]
+        arrived = [target.received for target in self.targets]
         await until(lambda: sum(map(len, arrived)) == 4)
         stopping = asyncio.ensure_future(self.instances[0].sidecar.stop())
         await asyncio.sleep(0.1)
         for target in self.targets:
-            target.held.set()
+            target.released.set()
         self.assertEqual({status for status, _ in await asyncio.gather(*calls)}, {200})
         await stopping
 
--- a/tests/sidecar/test_balancer.py
+++ b/tests/sidecar/test_balancer.py
@@ -76,12 +76,12 @@
 
     def test_failing_targets_are_passed_over_but_never_all(self) -> None:
         for _ in range(20):
-            self.near[0].answered(0.1, True, 10.0)
+            self.near[0].record_response(0.1, True, 10.0)
         self.assertEqual(set(self.chosen()), {"n-2"})
         everyone: list[Peer] = [*self.near, *self.far]
         for one in everyone:
             for _ in range(20):
-                one.answered(0.1, True, 10.0)
+                one.record_response(0.1, True, 10.0)
         self.assertNotIn("", self.chosen())
 
     def test_none_is_chosen_where_none_is_left(self) -> None:
--- a/tests/sidecar/test_decisions.py
+++ b/tests/sidecar/test_decisions.py
@@ -34,7 +34,7 @@
         for _ in range(1000):
             decisions.refused(call(), "no target")
         self.assertLess(len(self.lines), BURST_LINES + 20)
-        decisions.belief("target left", target="t-1")
+        decisions.event("target left", target="t-1")
         self.assertEqual(self.lines[-1]["message"], "target left")
 
     async def test_most_answers_in_time_are_left_out_and_no_late_one(self) -> None:
--- a/tests/sidecar/test_directory.py
+++ b/tests/sidecar/test_directory.py
@@ -13,10 +13,10 @@
         self.directory = Directory()
         self.entries = [peer(number).entry for number in (1, 2, 3)]
         for number, entry in enumerate(self.entries, 1):
-            self.directory.put(f"node/{number}", entry)
+            self.directory.update(f"node/{number}", entry)
 
     def ready(self, service: str = "statements") -> set[str]:
-        return {found.entry.node_id for found in self.directory.ready(service)}
+        return {found.entry.node_id for found in self.directory.ready_peers(service)}
 
     def changed(self, number: int, **changes: t.Any) -> NodeEntry:
         entry = self.entries[number - 1]
@@ -25,27 +25,27 @@
 
     def test_only_targets_that_are_ready_are_listed(self) -> None:
         self.assertEqual(self.ready(), {"n-1", "n-2", "n-3"})
-        self.directory.put("node/2", self.changed(2, state=TargetState.DRAINING))
-        self.directory.put("node/3", replace(self.entries[2], target=None))
+        self.directory.update("node/2", self.changed(2, state=TargetState.DRAINING))
+        self.directory.update("node/3", replace(self.entries[2], target=None))
         self.assertEqual(self.ready(), {"n-1"})
-        self.directory.put("node/2", self.changed(2, state=TargetState.READY))
+        self.directory.update("node/2", self.changed(2, state=TargetState.READY))
         self.assertEqual(self.ready(), {"n-1", "n-2"})
 
     def test_an_entry_that_is_told_again_is_listed_once_and_keeps_its_record(self) -> None:
         held = self.directory.peers_by_key["node/1"]
-        self.directory.put("node/1", self.entries[0])
-        self.assertEqual(len(self.directory.ready("statements")), 3)
+        self.directory.update("node/1", self.entries[0])
+        self.assertEqual(len(self.directory.ready_peers("statements")), 3)
         self.assertIs(self.directory.peers_by_key["node/1"], held)
 
     def test_a_new_target_of_another_service_leaves_the_old_list(self) -> None:
         held = self.directory.peers_by_key["node/1"]
-        self.directory.put("node/1", self.changed(1, service="plots", target_id="t-9"))
+        self.directory.update("node/1", self.changed(1, service="plots", target_id="t-9"))
         self.assertEqual((self.ready(), self.ready("plots")), ({"n-2", "n-3"}, {"n-1"}))
-        self.assertFalse(self.directory.is_known(held))
+        self.assertFalse(self.directory.is_current(held))
 
     def test_nodes_that_are_gone_are_forgotten(self) -> None:
-        self.directory.drop("node/1")
-        self.directory.drop("node/9")
-        self.directory.keep_only({"node/3"})
+        self.directory.remove("node/1")
+        self.directory.remove("node/9")
+        self.directory.retain({"node/3"})
         self.assertEqual(self.ready(), {"n-3"})
         self.assertEqual(list(self.directory.peers_by_key), ["node/3"])
--- a/tests/sidecar/test_dispatcher.py
+++ b/tests/sidecar/test_dispatcher.py
@@ -42,7 +42,7 @@
 
     def test_a_call_that_a_target_refused_counts_as_repeated_when_sent_on(self) -> None:
         progress = self.progress()
-        self.assertFalse(progress.take(not_run("503", arrived=True), False, 2))
+        self.assertFalse(progress.take(not_run("503", reached_target=True), False, 2))
         self.assertEqual((progress.arrivals, progress.runs), (1, 0))
 
     def test_a_call_that_may_have_run_stays_uncertain(self) -> None:
@@ -84,7 +84,7 @@
     async def asyncSetUp(self) -> None:
         self.directory = Directory()
         for number in (1, 2):
-            self.directory.put(f"node/{number}", peer(number).entry)
+            self.directory.update(f"node/{number}", peer(number).entry)
         self.sent: list[tuple[str, int]] = []
         self.answers: dict[str, asyncio.Future[CallResult]] = {}
         self.cancelled: list[str] = []
@@ -141,8 +141,8 @@
 
     async def test_a_slow_call_is_not_sent_to_a_target_without_free_slots_too(self) -> None:
         now = asyncio.get_running_loop().time()
-        for held in self.directory.ready("statements"):
-            held.report(4.0, now)
+        for held in self.directory.ready_peers("statements"):
+            held.record_load(4.0, now)
         running = self.start()
         await asyncio.sleep(0.1)
         self.assertEqual(len(self.sent), 1)
@@ -171,10 +171,10 @@
 
     async def test_where_all_targets_are_full_few_are_tried(self) -> None:
         for number in (3, 4, 5):
-            self.directory.put(f"node/{number}", peer(number).entry)
+            self.directory.update(f"node/{number}", peer(number).entry)
         now = asyncio.get_running_loop().time()
-        for held in self.directory.ready("statements"):
-            held.report(4.0, now)
+        for held in self.directory.ready_peers("statements"):
+            held.record_load(4.0, now)
         running = self.start(idempotent=False)
         await until(lambda: len(self.sent) == 1)
         self.answers[self.sent[0][0]].set_result(not_run("the queue is full"))
--- a/tests/sidecar/test_driver.py
+++ b/tests/sidecar/test_driver.py
@@ -75,8 +75,8 @@
         self.links = RecordedLinks()
         directory = self.directory = Directory()
         for other in (1, 2):
-            directory.put(f"node/{other}", peer(other).entry)
-        directory.put("node/3", peer(3, "v2").entry)
+            directory.update(f"node/{other}", peer(other).entry)
+        directory.update("node/3", peer(3, "v2").entry)
         follower = MoveFollower(decode, lambda status: self._take(status), decisions)
         self.replica = Replica(store, "statuses", follower, decisions, rng)
         self.driver = MoveDriver(
@@ -93,12 +93,12 @@
         )
 
     def _take(self, status: MoveStatus) -> None:
-        self.moves.take(status, 0.0)
+        self.moves.apply_status(status, 0.0)
 
     async def read(self) -> None:
         self.replica.offset = len(self.store.records)
         for record in self.store.records:
-            self.moves.take(decode_move(record.value).unwrap(), 0.0, recorded=True)
+            self.moves.apply_status(decode_move(record.value).unwrap(), 0.0, recorded=True)
 
     @property
     def status(self) -> MoveStatus | None:
@@ -111,7 +111,7 @@
         self.first, self.second = Node(1, self.store), Node(2, self.store)
         for node in (self.first, self.second):
             await node.read()
-            node.moves.order(ORDER, 0.0)
+            node.moves.apply_order(ORDER, 0.0)
 
     async def test_the_first_node_writes_the_first_step_and_the_second_waits(self) -> None:
         await self.second.driver.check()
@@ -128,36 +128,38 @@
 
     async def test_a_faulty_version_is_taken_back_without_the_store(self) -> None:
         await self.first.driver.check()
-        self.first.moves.take(replace(STATUS, step=2), 0.0)
+        self.first.moves.apply_status(replace(STATUS, step=2), 0.0)
         move = self.first.moves.by_service["statements"]
-        self.store.fails = True
-        self.first.driver.take_back(move, "more errors than the old version")
+        self.store.unavailable = True
+        self.first.driver.roll_back(move, "more errors than the old version")
         self.assertTrue(self.first.moves.is_forbidden("statements", "v2"))
         await self.first.driver.check()
         await until(lambda: len(self.first.links.bodies("state_notice")) == 2)
         notices = self.first.links.bodies("state_notice")
         await self.second.links.handlers["state_notice"](notices[0])
         self.assertTrue(self.second.moves.is_forbidden("statements", "v2"))
-        self.store.fails = False
+        self.store.unavailable = False
         await self.first.read()
         await self.first.driver.check()
         last = decode_move(self.store.records[-1].value).unwrap()
-        self.assertEqual(last.phase, MovePhase.TAKEN_BACK)
+        self.assertEqual(last.phase, MovePhase.ROLLED_BACK)
 
     async def test_a_version_without_calls_left_is_taken_back_without_the_store(self) -> None:
         await self.first.driver.check()
-        self.first.moves.take(replace(STATUS, step=2), 0.0)
-        self.store.fails = True
-        pace = Pace(100, "no calls are left that it may get unproved", take_back=True)
-        with mock.patch.object(Moves, "pace", return_value=pace):
+        self.first.moves.apply_status(replace(STATUS, step=2), 0.0)
+        self.store.unavailable = True
+        pace = Pace(100, "no calls are left that it may get unproved", roll_back=True)
+        with mock.patch.object(Moves, "next_step", return_value=pace):
             await self.first.driver.check()
         self.assertTrue(self.first.moves.is_forbidden("statements", "v2"))
         await until(lambda: len(self.first.links.bodies("state_notice")) == 2)
 
     async def test_an_end_that_the_store_holds_counts_against_an_own_one(self) -> None:
-        self.store.put("statements", encode_move(replace(STATUS, step=3, phase=MovePhase.DONE)))
+        self.store.put(
+            "statements", encode_move(replace(STATUS, step=3, phase=MovePhase.COMPLETED))
+        )
         move = self.first.moves.by_service["statements"]
-        self.first.driver.take_back(move, "more errors than the old version")
+        self.first.driver.roll_back(move, "more errors than the old version")
         await self.first.read()
         await self.first.driver.check()
         self.assertEqual(len(self.store.records), 1)
@@ -176,23 +178,23 @@
     async def test_a_node_without_the_others_evidence_takes_no_step(self) -> None:
         last = Node(9, self.store)
         for number in (4, 9):
-            last.directory.put(f"node/{number}", peer(number).entry)
+            last.directory.update(f"node/{number}", peer(number).entry)
         await last.read()
-        last.moves.order(ORDER, 0.0)
+        last.moves.apply_order(ORDER, 0.0)
         with mock.patch.object(driver_module, "RANK_WAIT_S", 0.0):
             await last.driver.check()
             self.assertEqual(self.store.records, [])
-            last.directory.peers_by_key["node/1"].lost = True
-            last.directory.peers_by_key["node/2"].lost = True
+            last.directory.peers_by_key["node/1"].unreachable = True
+            last.directory.peers_by_key["node/2"].unreachable = True
             await last.driver.check()
         self.assertEqual(len(self.store.records), 1)
 
     async def test_evidence_goes_to_the_first_nodes_that_can_be_reached(self) -> None:
         directory = self.second.directory
         for number in (4, 5, 6):
-            directory.put(f"node/{number}", peer(number).entry)
-        directory.peers_by_key["node/3"].lost = True
-        self.second.moves.observe(call(version="v2"), True, 0.1, False)
+            directory.update(f"node/{number}", peer(number).entry)
+        directory.peers_by_key["node/3"].unreachable = True
+        self.second.moves.observe_call(call(version="v2"), True, 0.1, False)
         await self.second.driver.check()
         await until(lambda: len(self.second.links.sent) == 2)
         endpoints = [endpoint[0] for endpoint, _ in self.second.links.sent]
@@ -200,7 +202,7 @@
 
     async def test_evidence_goes_to_the_nodes_of_the_service(self) -> None:
         await self.first.driver.check()
-        self.first.moves.observe(call(version="v2"), True, 0.1, False)
+        self.first.moves.observe_call(call(version="v2"), True, 0.1, False)
         await self.first.driver.check()
         await until(lambda: len(self.first.links.bodies("evidence_report")) == 2)
         report = self.first.links.bodies("evidence_report")[0]
--- a/tests/sidecar/test_gate.py
+++ b/tests/sidecar/test_gate.py
@@ -37,11 +37,11 @@
         self.addCleanup(self.gate.close)
 
     def announce(self, entry: TargetEntry) -> bool:
-        return self.gate.announce(entry, self.endpoint)
+        return self.gate.apply_announcement(entry, self.endpoint)
 
     def assert_refused(self, result: CallResult) -> None:
         self.assertIs(result.unwrap_err().outcome, Outcome.NOT_RUN)
-        self.assertFalse(result.unwrap_err().arrived)
+        self.assertFalse(result.unwrap_err().reached_target)
 
     async def test_a_call_runs_and_its_answer_comes_back(self) -> None:
         self.announce(target())
@@ -52,17 +52,17 @@
 
     async def test_a_draining_target_gets_nothing_new_and_its_queue_is_refused(self) -> None:
         self.announce(target(slots=1))
-        self.target.held.clear()
+        self.target.released.clear()
         running = asyncio.ensure_future(self.gate.run(call("r-1")))
-        await until(lambda: self.target.arrived == ["r-1"])
+        await until(lambda: self.target.received == ["r-1"])
         queued = asyncio.ensure_future(self.gate.run(call("r-2")))
         await until(lambda: self.gate.load == 2)
         self.announce(target(sequence=2, state=TargetState.DRAINING, slots=1))
         self.assert_refused(await queued)
         self.assert_refused(await self.gate.run(call("r-3")))
-        self.target.held.set()
+        self.target.released.set()
         self.assertEqual((await running).unwrap().status, 200)
-        self.assertEqual(self.target.arrived, ["r-1"])
+        self.assertEqual(self.target.received, ["r-1"])
 
     async def test_a_word_that_is_late_changes_nothing(self) -> None:
         self.announce(target(sequence=5, state=TargetState.DRAINING))
@@ -71,7 +71,7 @@
 
     async def test_a_target_that_left_does_not_come_back_by_a_late_word(self) -> None:
         self.announce(target(sequence=5))
-        self.gate.depart("t-1")
+        self.gate.remove_target("t-1")
         self.assertFalse(self.announce(target(sequence=6)))
         self.assertIsNone(self.told[-1])
         self.assertTrue(self.announce(target(incarnation=2)))
@@ -91,34 +91,34 @@
         self.assert_refused(await self.gate.run(call(version="v2")))
         self.forbidden.add("v1")
         self.assert_refused(await self.gate.run(call()))
-        self.assertEqual(self.target.arrived, [])
+        self.assertEqual(self.target.received, [])
 
     async def test_a_caller_that_leaves_ends_an_idempotent_call_at_the_target(self) -> None:
         self.announce(target())
-        self.target.held.clear()
+        self.target.released.clear()
         running = asyncio.ensure_future(self.gate.run(call()))
-        await until(lambda: bool(self.target.arrived))
+        await until(lambda: bool(self.target.received))
         running.cancel()
         await until(lambda: self.target.cancelled == ["r-1"])
         await until(lambda: self.gate.load == 0)
 
     async def test_a_call_that_is_not_idempotent_is_left_to_finish(self) -> None:
         self.announce(target())
-        self.target.held.clear()
+        self.target.released.clear()
         running = asyncio.ensure_future(self.gate.run(call(idempotent=False)))
-        await until(lambda: bool(self.target.arrived))
+        await until(lambda: bool(self.target.received))
         running.cancel()
         await asyncio.sleep(0.01)
         self.assertEqual(self.gate.load, 1)
-        self.target.held.set()
-        await until(lambda: self.target.ended == ["r-1"])
+        self.target.released.set()
+        await until(lambda: self.target.completed == ["r-1"])
         await until(lambda: self.gate.load == 0)
 
     async def test_a_refusal_by_the_target_is_an_arrival_that_did_not_run(self) -> None:
         self.announce(target())
         self.target.status, self.target.not_run = 503, True
         failure = (await self.gate.run(call())).unwrap_err()
-        self.assertEqual((failure.outcome, failure.arrived), (Outcome.NOT_RUN, True))
+        self.assertEqual((failure.outcome, failure.reached_target), (Outcome.NOT_RUN, True))
 
     async def test_a_refusal_status_after_a_run_is_uncertain_unless_idempotent(self) -> None:
         self.announce(target())
@@ -129,18 +129,18 @@
 
     async def test_a_success_that_is_not_proved_is_none(self) -> None:
         self.announce(target())
-        self.target.signs = False
+        self.target.signs_responses = False
         self.assertIs((await self.gate.run(call())).unwrap_err().outcome, Outcome.UNKNOWN)
 
     async def test_another_target_at_the_address_ends_the_entry(self) -> None:
         self.announce(target())
         self.target.status = 421
-        self.assertTrue((await self.gate.run(call())).unwrap_err().arrived)
+        self.assertTrue((await self.gate.run(call())).unwrap_err().reached_target)
         self.assertIsNone(self.gate.entry)
         self.assertIsNone(self.told[-1])
 
     async def test_a_target_without_a_listener_has_no_capacity_until_its_next_word(self) -> None:
-        self.gate.announce(target(), Endpoint("127.0.0.1", 1))
+        self.gate.apply_announcement(target(), Endpoint("127.0.0.1", 1))
         self.assert_refused(await self.gate.run(call()))
         self.assertEqual(self.gate.capacity, 0)
         self.announce(target(sequence=2))
@@ -153,29 +153,29 @@
 
     async def test_a_call_at_a_target_that_is_replaced_meanwhile_ends_as_it_ended(self) -> None:
         self.announce(target())
-        self.target.held.clear()
+        self.target.released.clear()
         running = asyncio.ensure_future(self.gate.run(call()))
-        await until(lambda: bool(self.target.arrived))
+        await until(lambda: bool(self.target.received))
         self.announce(target("t-2", incarnation=2))
-        self.target.held.set()
+        self.target.released.set()
         self.assertEqual((await running).unwrap().status, 200)
         self.assertEqual(self.gate.load, 0)
         self.assertEqual((await self.gate.run(call("r-2"))).unwrap().status, 200)
 
     async def test_a_call_that_waited_for_a_replaced_target_is_refused(self) -> None:
         self.announce(target(slots=1))
-        self.target.held.clear()
+        self.target.released.clear()
         running = asyncio.ensure_future(self.gate.run(call("r-1")))
-        await until(lambda: bool(self.target.arrived))
+        await until(lambda: bool(self.target.received))
         queued = asyncio.ensure_future(self.gate.run(call("r-2")))
         await until(lambda: self.gate.load == 2)
         self.announce(target("t-2", incarnation=2, slots=1))
         self.assert_refused(await queued)
-        self.target.held.set()
+        self.target.released.set()
         await running
 
     async def test_a_leave_of_a_target_that_is_not_known_yet_counts_against_its_entry(self) -> None:
-        self.gate.depart("t-1")
+        self.gate.remove_target("t-1")
         self.assertFalse(self.announce(target(incarnation=900, sequence=7)))
         self.assert_refused(await self.gate.run(call()))
         self.assertTrue(self.announce(target(incarnation=1_001)))
--- a/tests/sidecar/test_moves.py
+++ b/tests/sidecar/test_moves.py
@@ -28,7 +28,7 @@
     def versions(self, count: int = 300) -> set[str]:
         found: set[str] = set()
         for _ in range(count):
-            for chosen in self.moves.choose("statements", self.peers):
+            for chosen in self.moves.filter_peers("statements", self.peers):
                 assert chosen.entry.target is not None
                 found.add(chosen.entry.target.version)
         return found
@@ -37,38 +37,38 @@
         self.assertEqual(self.versions(1), {"v1", "v2"})
 
     async def test_an_ordered_version_gets_nothing_before_its_first_step(self) -> None:
-        self.moves.order(ORDER, 0.0)
+        self.moves.apply_order(ORDER, 0.0)
         self.assertEqual(self.versions(), {"v1"})
 
     async def test_a_step_gives_the_new_version_its_share(self) -> None:
-        self.moves.order(ORDER, 0.0)
-        self.moves.take(STATUS, 0.0)
+        self.moves.apply_order(ORDER, 0.0)
+        self.moves.apply_status(STATUS, 0.0)
         self.assertEqual(self.versions(), {"v1", "v2"})
 
     async def test_a_status_that_comes_before_its_order_counts(self) -> None:
-        self.moves.take(replace(STATUS, phase=MovePhase.TAKEN_BACK), 0.0)
-        self.moves.order(ORDER, 0.0)
+        self.moves.apply_status(replace(STATUS, phase=MovePhase.ROLLED_BACK), 0.0)
+        self.moves.apply_order(ORDER, 0.0)
         self.assertTrue(self.moves.is_forbidden("statements", "v2"))
 
     async def test_a_version_taken_back_gets_nothing_whatever_comes_late(self) -> None:
-        self.moves.order(ORDER, 0.0)
-        self.moves.take(replace(STATUS, step=2, phase=MovePhase.TAKEN_BACK), 0.0)
-        self.assertFalse(self.moves.take(replace(STATUS, step=3, share_permille=500), 0.0))
+        self.moves.apply_order(ORDER, 0.0)
+        self.moves.apply_status(replace(STATUS, step=2, phase=MovePhase.ROLLED_BACK), 0.0)
+        self.assertFalse(self.moves.apply_status(replace(STATUS, step=3, share_permille=500), 0.0))
         self.assertEqual(self.versions(), {"v1"})
         self.assertTrue(self.moves.is_forbidden("statements", "v2"))
         self.assertFalse(self.moves.is_forbidden("statements", "v1"))
 
     async def test_a_finished_move_uses_the_new_version_only(self) -> None:
-        self.moves.order(ORDER, 0.0)
-        self.moves.take(replace(STATUS, step=4, phase=MovePhase.DONE), 0.0)
+        self.moves.apply_order(ORDER, 0.0)
+        self.moves.apply_status(replace(STATUS, step=4, phase=MovePhase.COMPLETED), 0.0)
         self.assertEqual(self.versions(), {"v2"})
 
     async def test_a_later_order_replaces_the_one_before(self) -> None:
-        self.moves.order(ORDER, 0.0)
-        self.moves.take(replace(STATUS, phase=MovePhase.TAKEN_BACK), 0.0)
-        self.moves.order(replace(ORDER, to_version="v3", order_id=9), 1.0)
+        self.moves.apply_order(ORDER, 0.0)
+        self.moves.apply_status(replace(STATUS, phase=MovePhase.ROLLED_BACK), 0.0)
+        self.moves.apply_order(replace(ORDER, to_version="v3", order_id=9), 1.0)
         self.assertFalse(self.moves.is_forbidden("statements", "v2"))
-        self.moves.order(ORDER, 2.0)
+        self.moves.apply_order(ORDER, 2.0)
         self.assertEqual(self.moves.by_service["statements"].order.to_version, "v3")
 
 
@@ -91,9 +91,9 @@
         rng = random.Random(seed)
         moves = Moves("n-1", 1, Decisions(), rng, LIMITS)
         order = MoveOrder("statements", "v2", duration_s, 7)
-        moves.order(order, 0.0)
+        moves.apply_order(order, 0.0)
         move = moves.by_service["statements"]
-        moves.take(replace(STATUS, share_permille=0), 0.0)
+        moves.apply_status(replace(STATUS, share_permille=0), 0.0)
         new_calls = 0
         steps = round(duration_s / self.STEP_S)
         per_step = round(self.CALLS_PER_S * self.STEP_S)
@@ -106,27 +106,27 @@
             due = i - round(self.LATENCY_S / self.STEP_S)
             for version in answers[due] if due >= 0 else ():
                 bad = bad_share(now, move.share_permille) if version == "v2" else 0.01
-                moves.observe(call(version=version), rng.random() < bad, self.LATENCY_S, False)
+                moves.observe_call(call(version=version), rng.random() < bad, self.LATENCY_S, False)
             if i % self.CHECK_STEPS == 0 and move.phase is MovePhase.RUNNING:
                 self.check(moves, now)
         return move.phase, new_calls, steps * per_step
 
     def is_new(self, moves: Moves) -> bool:
-        chosen = moves.choose("statements", [peer(1), peer(3, "v2")])
+        chosen = moves.filter_peers("statements", [peer(1), peer(3, "v2")])
         target = chosen[0].entry.target
         return target is not None and target.version == "v2"
 
     def check(self, moves: Moves, now: float) -> None:
         move = moves.by_service["statements"]
         assert move.status is not None
-        taken_back = moves.judge(move, now) is not None
-        pace = moves.pace(move, now, int(now * 1000))
-        phase = MovePhase.TAKEN_BACK if taken_back or pace.take_back else MovePhase.RUNNING
-        phase = MovePhase.DONE if pace.done else phase
-        share = 0 if phase is MovePhase.TAKEN_BACK else pace.share_permille
+        taken_back = moves.update_analysis(move, now) is not None
+        pace = moves.next_step(move, now, int(now * 1000))
+        phase = MovePhase.ROLLED_BACK if taken_back or pace.roll_back else MovePhase.RUNNING
+        phase = MovePhase.COMPLETED if pace.completed else phase
+        share = 0 if phase is MovePhase.ROLLED_BACK else pace.share_permille
         step = replace(move.status, step=move.status.step + 1, share_permille=share, phase=phase)
         if (step.share_permille, phase) != (move.status.share_permille, move.status.phase):
-            moves.take(step, now)
+            moves.apply_status(step, now)
 
     async def test_a_bad_version_gets_no_more_than_its_share(self) -> None:
         kinds: dict[str, t.Callable[[float, int], float]] = {
@@ -139,11 +139,11 @@
         for (name, bad_share), seed in itertools.product(kinds.items(), range(16)):
             with self.subTest(name, seed=seed):
                 phase, new_calls, calls = self.play(bad_share, seed)
-                self.assertIs(phase, MovePhase.TAKEN_BACK)
+                self.assertIs(phase, MovePhase.ROLLED_BACK)
                 self.assertLessEqual(new_calls, LIMITS.share * calls + LIMITS.slack)
 
     async def test_a_good_version_is_done_by_its_deadline(self) -> None:
         for seed, duration_s in itertools.product(range(8), (12.0, 16.0, 30.0)):
             with self.subTest(seed=seed, duration_s=duration_s):
                 phase, _, _ = self.play(lambda now, share: 0.01, seed, duration_s)
-                self.assertIs(phase, MovePhase.DONE)
+                self.assertIs(phase, MovePhase.COMPLETED)
--- a/tests/sidecar/test_peers.py
+++ b/tests/sidecar/test_peers.py
@@ -43,7 +43,7 @@
         store = MemoryStore()
         follower = mock.Mock()
         orders = Replica(store, "orders", follower, decisions, random.Random(1))
-        self.peers = Peers(self.links, self.gate, orders, self.directory.is_known, decisions)
+        self.peers = Peers(self.links, self.gate, orders, self.directory.is_current, decisions)
 
     async def start(self) -> None:
         await self.timers.start()
@@ -65,12 +65,12 @@
         for node in (self.here, self.there):
             await node.start()
             self.addAsyncCleanup(node.stop)
-        self.there.gate.announce(target(), endpoint)
+        self.there.gate.apply_announcement(target(), endpoint)
         self.peer = self.known_peer(self.there.links.port)
 
     def known_peer(self, port: int) -> Peer:
         entry = replace(peer(1).entry, address="127.0.0.1", peer_port=port)
-        self.here.directory.put("node/1", entry)
+        self.here.directory.update("node/1", entry)
         return self.here.directory.peers_by_key["node/1"]
 
     async def test_a_call_runs_at_the_other_node_and_its_load_comes_back(self) -> None:
@@ -79,7 +79,7 @@
         self.assertEqual((report.reached, report.load), (True, 0.0))
 
     async def test_a_node_without_a_target_has_no_load(self) -> None:
-        self.there.gate.depart("t-1")
+        self.there.gate.remove_target("t-1")
         result, report = await self.here.peers.send(self.peer.entry.endpoint, call())
         self.assertIs(result.unwrap_err().outcome, Outcome.NOT_RUN)
         self.assertIsNone(report.load)
@@ -87,7 +87,7 @@
     async def test_a_target_that_refuses_is_told_as_an_arrival(self) -> None:
         self.target.status, self.target.not_run = 503, True
         result, _ = await self.here.peers.send(self.peer.entry.endpoint, call())
-        self.assertTrue(result.unwrap_err().arrived)
+        self.assertTrue(result.unwrap_err().reached_target)
 
     async def test_a_lost_node_comes_back_without_a_call(self) -> None:
         port = self.there.links.port
@@ -95,17 +95,17 @@
         result, report = await self.here.peers.send(self.peer.entry.endpoint, call())
         self.assertIs(result.unwrap_err().outcome, Outcome.NOT_RUN)
         self.assertFalse(report.reached)
-        self.here.peers.lose(self.peer)
-        self.assertTrue(self.peer.lost)
+        self.here.peers.mark_unreachable(self.peer)
+        self.assertTrue(self.peer.unreachable)
         again = Node()
         again.links = Links("127.0.0.1", port, again.timers)
         await again.start()
         self.addAsyncCleanup(again.stop)
-        await until(lambda: not self.peer.lost)
+        await until(lambda: not self.peer.unreachable)
 
     async def test_a_node_that_is_no_longer_known_is_not_looked_for(self) -> None:
         gone = self.known_peer(1)
-        self.here.peers.lose(gone)
-        self.here.directory.drop("node/1")
+        self.here.peers.mark_unreachable(gone)
+        self.here.directory.remove("node/1")
         await until(lambda: not self.here.peers.rechecking)
-        self.assertTrue(gone.lost)
+        self.assertTrue(gone.unreachable)
--- a/tests/sidecar/test_repeats.py
+++ b/tests/sidecar/test_repeats.py
@@ -18,16 +18,16 @@
     ) -> None:
         limits = [RepeatLimit(RATIO, SLACK, WINDOW_S) for _ in range(4)]
         for limit in limits:
-            limit.sharers = len(limits)
+            limit.target_count = len(limits)
         now = 0.0
         firsts: list[float] = []
         repeats: list[float] = []
         for pause_s, number, is_repeat in calls:
             now += pause_s
             if not is_repeat:
-                limits[number].first(now)
+                limits[number].record_first_attempt(now)
                 firsts.append(now)
-            elif limits[number].repeat(now):
+            elif limits[number].try_consume(now):
                 repeats.append(now)
             counted = [at for at in repeats if at > now - WINDOW_S]
             # The bound's own reckoning takes the window before into account, too.
@@ -40,15 +40,15 @@
         firsts = repeats = 0
         for i in range(4000):
             now = i / 400
-            above.first(now)
-            calls = 2 * above.repeat(now)
-            repeats += calls + below.repeat(now)
+            above.record_first_attempt(now)
+            calls = 2 * above.try_consume(now)
+            repeats += calls + below.try_consume(now)
             for _ in range(2 + calls):
-                below.first(now)
+                below.record_first_attempt(now)
             firsts += 2
         self.assertLessEqual(repeats, RATIO * firsts + SLACK)
 
     def test_without_any_calls_a_part_of_the_slack_is_left(self) -> None:
         limit = RepeatLimit(RATIO, SLACK, WINDOW_S)
-        limit.sharers = 3
-        self.assertEqual(sum(limit.repeat(0.0) for _ in range(100)), 6)
+        limit.target_count = 3
+        self.assertEqual(sum(limit.try_consume(0.0) for _ in range(100)), 6)
--- a/tests/sidecar/test_replica.py
+++ b/tests/sidecar/test_replica.py
@@ -49,7 +49,7 @@
     async def test_a_read_that_others_are_ahead_of_is_made_anew(self) -> None:
         await self.start()
         await until(lambda: bool(self.store.reads))
-        self.store.deaf = True
+        self.store.misses_wakeups = True
         self.store.put("a", b"1")
         await asyncio.sleep(0.01)
         self.assertEqual(self.kept.by_key, {})
@@ -67,7 +67,7 @@
     async def test_trimmed_records_lead_to_the_whole_state(self) -> None:
         await self.start()
         await until(lambda: bool(self.store.reads))
-        self.store.first = 2
+        self.store.first_offset = 2
         self.store.put("a", b"1")
         self.store.put("b", b"2")
         await until(lambda: self.kept.by_key == {"a": b"1", "b": b"2"})
@@ -75,9 +75,9 @@
     async def test_an_outage_keeps_what_is_held_and_ends(self) -> None:
         self.store.put("a", b"1")
         await self.start()
-        self.store.fails = True
+        self.store.unavailable = True
         self.store.put("a", b"2")
         await asyncio.sleep(0.01)
-        self.store.fails = False
+        self.store.unavailable = False
         await until(lambda: self.kept.by_key == {"a": b"2"})
         self.assertTrue(self.replica.loaded)
--- a/tests/targets/test_gatekeeper.py
+++ b/tests/targets/test_gatekeeper.py
@@ -46,7 +46,7 @@
             1 << 16,
         )
         self.addAsyncCleanup(self.gatekeeper.close)
-        await self.gatekeeper.announce(announcement(self.port, slots=1))
+        await self.gatekeeper.handle_announcement(announcement(self.port, slots=1))
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         await request.read()
@@ -73,7 +73,9 @@
         changes = {
             "taken back": lambda: setattr(self, "forbidden", True),
             "draining": lambda: asyncio.create_task(
-                self.gatekeeper.announce(announcement(self.port, slots=1, state="draining"))
+                self.gatekeeper.handle_announcement(
+                    announcement(self.port, slots=1, state="draining")
+                )
             ),
         }
         for name, change in changes.items():
@@ -81,7 +83,7 @@
                 self.forbidden = False
                 self.started.clear()
                 self.may_end.clear()
-                await self.gatekeeper.announce(announcement(self.port, slots=1))
+                await self.gatekeeper.handle_announcement(announcement(self.port, slots=1))
                 first = asyncio.create_task(self.outcome(call("1")))
                 second = asyncio.create_task(self.outcome(call("2")))
                 await until(lambda: self.started == ["1"] and self.gatekeeper.load == 2)
@@ -154,17 +156,17 @@
     async def test_a_target_that_takes_no_connections_is_gone_until_it_announces(self) -> None:
         async with http_server(self.handle) as port:
             pass
-        await self.gatekeeper.announce(announcement(port))
+        await self.gatekeeper.handle_announcement(announcement(port))
         self.assertEqual(await self.outcome(call("1")), Outcome.NOT_RUN)
         self.assertIsNone(self.targets[-1])
-        await self.gatekeeper.announce(announcement(port))
+        await self.gatekeeper.handle_announcement(announcement(port))
         self.assertIsNotNone(self.targets[-1])
 
     async def test_a_replaced_target_finishes_what_it_runs(self) -> None:
         first = asyncio.create_task(self.outcome(call("1")))
         await until(lambda: self.started == ["1"])
         async with http_server(self.handle) as port:
-            await self.gatekeeper.announce(announcement(port, version="v2"))
+            await self.gatekeeper.handle_announcement(announcement(port, version="v2"))
             self.assertEqual(self.gatekeeper.in_flight, 0)
             self.assertEqual(await self.outcome(call("2")), Outcome.NOT_RUN)
             self.may_end.set()
