--- a/benchmarks/fold.py
+++ b/benchmarks/fold.py
@@ -17,18 +17,18 @@
 import cappa
 import msgspec
 
-from bulrushflow.configuration import EMPTY
+from bulrushflow.configuration import EMPTY_CONFIGURATION
 from bulrushflow.configuration import MAX_VERDICTS
 from bulrushflow.configuration import Configuration
 from bulrushflow.configuration import ConfigurationStore
 from bulrushflow.configuration import Configure
-from bulrushflow.configuration import FinishMove
+from bulrushflow.configuration import FinishRollout
 from bulrushflow.configuration import LogRecord
 from bulrushflow.configuration import Record
-from bulrushflow.configuration import RecordStep
+from bulrushflow.configuration import RecordRolloutStep
 from bulrushflow.configuration import RouteBody
 from bulrushflow.configuration import ServiceBody
-from bulrushflow.configuration import StartMove
+from bulrushflow.configuration import StartRollout
 from bulrushflow.configuration import encode_configuration
 from bulrushflow.configuration import encode_record
 from bulrushflow.configuration import fold_records
@@ -62,25 +62,27 @@
         )
     for i in range(MOVES):
         move_id = f"{rng.getrandbits(64):016x}"
-        records.append(StartMove(1, move_id, "operator", f"service-{i}", "v2", FAR_FUTURE_MS))
+        records.append(StartRollout(1, move_id, "operator", f"service-{i}", "v2", FAR_FUTURE_MS))
         for k in range(STEPS):
             evidence = "no route worse than the old version; 771 calls"
             records.append(
-                RecordStep(1, f"{move_id}/{k}", move_id, k, "by the schedule", evidence, "n-1")
+                RecordRolloutStep(
+                    1, f"{move_id}/{k}", move_id, k, "by the schedule", evidence, "n-1"
+                )
             )
-        records.append(FinishMove(1, f"{move_id}/done", move_id, False, "healthy", "", "n-1"))
+        records.append(FinishRollout(1, f"{move_id}/done", move_id, False, "healthy", "", "n-1"))
     while len(records) < MAX_VERDICTS + SERVICES:
         name = f"service-{rng.randrange(SERVICES)}"
         version = ServiceBody(f"v{rng.randrange(100)}")
         publish_id = f"{rng.getrandbits(64):016x}"
         records.append(Configure(1, publish_id, "operator", services={name: version}))
     log = [LogRecord(i, 1000 + i, encode_record(r)) for i, r in enumerate(records)]
-    return log, fold_records(EMPTY, log).configuration
+    return log, fold_records(EMPTY_CONFIGURATION, log).configuration
 
 
 def fold_pages(log: list[LogRecord], page: int) -> Configuration:
     """Fold a log in pages."""
-    state = EMPTY
+    state = EMPTY_CONFIGURATION
     for start in range(0, len(log), page):
         state = fold_records(state, log[start : start + page]).configuration
     return state
--- a/benchmarks/mechanisms.py
+++ b/benchmarks/mechanisms.py
@@ -122,7 +122,7 @@
     ),
     Mechanism(
         "a pause begins the check for the newest version again",
-        (Edit("configuration/freshness.py", "PAUSE_S = 2.0", "PAUSE_S = 1e9"),),
+        (Edit("configuration/freshness.py", "PAUSE_THRESHOLD_S = 2.0", "PAUSE_THRESHOLD_S = 1e9"),),
         (
             "tests.configuration.test_freshness",
             "tests.nodes.test_spreading",
@@ -130,30 +130,30 @@
     ),
     Mechanism(
         "a faulty version is taken back",
-        (Edit("nodes/driving.py", "if verdict.outcome is Judgement.FAULTY:", "if False:"),),
+        (Edit("nodes/driving.py", "if verdict.outcome is AnalysisOutcome.FAULTY:", "if False:"),),
         ("tests.nodes.test_driving",),
     ),
     Mechanism(
         "a take-back wins each join",
         (
             Edit(
-                "moves/shared.py",
+                "rollouts/shared.py",
                 "rolled_back = self.rolled_back or other.rolled_back",
                 "rolled_back = self.rolled_back and other.rolled_back",
             ),
         ),
-        ("tests.moves.test_shared",),
+        ("tests.rollouts.test_shared",),
     ),
     Mechanism(
         "the gatekeeper refuses a version that was taken back",
         (
             Edit(
-                "targets/gatekeeper.py",
+                "targets/admission_controller.py",
                 "if self._is_forbidden(call.service, call.version):",
                 "if False:",
             ),
         ),
-        ("tests.targets.test_gatekeeper",),
+        ("tests.targets.test_admission_controller",),
     ),
     Mechanism(
         "a decision that is out of date is kept from the log",
@@ -211,18 +211,18 @@
         "a target that leaves gets no new calls",
         (
             Edit(
-                "targets/gatekeeper.py",
+                "targets/admission_controller.py",
                 'if self._draining or announcement.state != "ready":',
                 "if False:",
             ),
         ),
-        ("tests.targets.test_gatekeeper",),
+        ("tests.targets.test_admission_controller",),
     ),
     Mechanism(
         "a stopping node waits for its callers",
         (
             Edit("application.py", "await self.callers.drain(drain_s),", "True,"),
-            Edit("application.py", "await self.gatekeeper.drain(drain_s),", "True,"),
+            Edit("application.py", "await self.admission_controller.drain(drain_s),", "True,"),
             Edit("application.py", "await self.links.drain(drain_s),", "True,"),
             Edit("application.py", "await self.gossip.leave()", "pass"),
             Edit("application.py", "await asyncio.sleep(LEAVE_SPREAD_S)", "pass"),
--- a/benchmarks/membership_costs.py
+++ b/benchmarks/membership_costs.py
@@ -12,9 +12,9 @@
 from bulrushflow.membership import Status
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
-from bulrushflow.membership import chosen
-from bulrushflow.moves import SharedMoves
+from bulrushflow.membership import is_top_ranked
 from bulrushflow.nodes.composing import Composer
+from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.wire import codec
 from bulrushflow.wire import messages
 
@@ -68,7 +68,7 @@
     table.live_peers()
     memory_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
-    composer = Composer(table, SharedMoves(), lambda: 0)
+    composer = Composer(table, SharedRollouts(), lambda: 0)
     order = ProbeOrder(rng)
     raised = [replace(m, incarnation=m.incarnation + 1) for m in members[1:]]
     merges = iter(raised * 2)
@@ -76,7 +76,7 @@
     for member in members[1:200]:
         composer.tell(member)
     full = composer.datagram((), ping=messages.Ping(sequence=1))
-    quiet = Composer(table, SharedMoves(), lambda: 0)
+    quiet = Composer(table, SharedRollouts(), lambda: 0)
     empty = quiet.datagram((), ping=messages.Ping(sequence=1))
     results = {
         "merge of a claim that is news": measure(lambda i: table.merge(next(merges), 1.0)),
@@ -92,10 +92,10 @@
         "digest of a changed table": measure(lambda i: _digest(table)),
         "differing buckets": measure(lambda i: table.differing_buckets(table.bucket_digests())),
         "rendezvous in one data centre, chosen": measure(
-            lambda i: chosen(near, "x", near[0].node_id, len(near)), 50
+            lambda i: is_top_ranked(near, "x", near[0].node_id, len(near)), 50
         ),
         "rendezvous in one data centre, usual": measure(
-            lambda i: chosen(near, "x", near[i % len(near)].node_id, 2)
+            lambda i: is_top_ranked(near, "x", near[i % len(near)].node_id, 2)
         ),
         "choice of the next probe": measure(lambda i: order.next(table)),
         "encode a datagram without news": measure(
--- a/benchmarks/membership_participant.py
+++ b/benchmarks/membership_participant.py
@@ -18,13 +18,13 @@
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
-from bulrushflow.moves import SharedMoves
 from bulrushflow.nodes import Gossip
 from bulrushflow.nodes import Introductions
 from bulrushflow.nodes.datagrams import DatagramTransport
 from bulrushflow.nodes.datagrams import Receive
 from bulrushflow.nodes.datagrams import open_udp
 from bulrushflow.recording import HttpLog
+from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.settings import GossipSettings
 from bulrushflow.timers import Timers
 from bulrushflow.wire import Links
@@ -94,7 +94,7 @@
         self.table = MemberTable(own)
         self.gossip = Gossip(
             self.table,
-            SharedMoves(),
+            SharedRollouts(),
             self.links,
             self.timers,
             GossipSettings(),
--- a/benchmarks/move_model/draws.py
+++ b/benchmarks/move_model/draws.py
@@ -4,7 +4,7 @@
 import random
 import typing as t
 
-from bulrushflow.moves.evidence import LATENCY_BOUNDS_S
+from bulrushflow.rollouts.evidence import LATENCY_BOUNDS_S
 
 MEDIAN_S = 0.010
 SIGMA = 0.5
--- a/benchmarks/move_model/policies.py
+++ b/benchmarks/move_model/policies.py
@@ -2,12 +2,12 @@
 
 import typing as t
 
-from bulrushflow.moves import MoveController
-from bulrushflow.moves import MoveTimes
-from bulrushflow.moves import RouteCounts
-from bulrushflow.moves import SharedMove
-from bulrushflow.moves import SharedMoves
-from bulrushflow.moves import VersionRoute
+from bulrushflow.rollouts import RolloutController
+from bulrushflow.rollouts import RolloutTimes
+from bulrushflow.rollouts import RouteCounts
+from bulrushflow.rollouts import SharedRollout
+from bulrushflow.rollouts import SharedRollouts
+from bulrushflow.rollouts import VersionRoute
 
 OLD = "v1"
 NEW = "v2"
@@ -42,9 +42,9 @@
     uses_latency = True
 
     def __init__(self, span_s: float) -> None:
-        times = MoveTimes(0, int(span_s * 1000))
-        self._controller = MoveController(OLD, NEW, times, 0.0)
-        self._shared = SharedMoves()
+        times = RolloutTimes(0, int(span_s * 1000))
+        self._controller = RolloutController(OLD, NEW, times, 0.0)
+        self._shared = SharedRollouts()
         self.taken_back = False
         self.done = False
         self.reason = ""
@@ -62,7 +62,7 @@
         self.taken_back = pace.roll_back
         if pace.completed or pace.roll_back:
             self.reason = f"{pace.rule} ({self._controller.latest_result.evidence})"
-        state = SharedMove(OFFSET, pace.share_permille, pace.roll_back, pace.rule)
+        state = SharedRollout(OFFSET, pace.share_permille, pace.roll_back, pace.rule)
         self._shared.merge(state)
         self._shared.merge(state)
 
--- a/benchmarks/move_model/run.py
+++ b/benchmarks/move_model/run.py
@@ -15,8 +15,8 @@
 from benchmarks.move_model.scenarios import ROUTES
 from benchmarks.move_model.scenarios import Outcome
 from benchmarks.move_model.scenarios import Scenario
-from bulrushflow.moves import RouteCounts
-from bulrushflow.moves import WarmUp
+from bulrushflow.rollouts import RouteCounts
+from bulrushflow.rollouts import WarmUp
 
 COLD_S = 8.0
 COLD_CALLS = 5
--- a/src/bulrushflow/application.py
+++ b/src/bulrushflow/application.py
@@ -26,20 +26,20 @@
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Target
 from bulrushflow.metrics import Metrics
-from bulrushflow.moves import SharedMoves
 from bulrushflow.nodes import Forwarding
 from bulrushflow.nodes import Gossip
 from bulrushflow.nodes import Introductions
-from bulrushflow.nodes import MoveDriver
+from bulrushflow.nodes import RolloutDriver
 from bulrushflow.nodes import Spreading
 from bulrushflow.operators.endpoint import OperatorEndpoint
 from bulrushflow.recording import HttpLog
 from bulrushflow.recording import Recorder
 from bulrushflow.recording import SnapshotWriter
+from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.routing import ByteBudget
 from bulrushflow.settings import Settings
 from bulrushflow.settings import load_settings
-from bulrushflow.targets import Gatekeeper
+from bulrushflow.targets import AdmissionController
 from bulrushflow.targets import target_application
 from bulrushflow.timers import SystemClock
 from bulrushflow.timers import Timers
@@ -73,7 +73,7 @@
         self.failure: InvariantError | None = None
         self.metrics = Metrics(settings.calls.max_tenant_labels)
         self.store = ConfigurationStore()
-        self.shared_moves = SharedMoves()
+        self.shared_moves = SharedRollouts()
         self.timers = Timers(self.rng)
         self.platform_log = HttpLog(settings.platform.url, settings.platform.request_timeout_s)
         self.links = Links(settings.address, settings.peer_port, self.timers)
@@ -91,7 +91,7 @@
         await self.gossip.start()
         await self.spreading.start()
         self.target_port = await self._serve_application(
-            target_application(self.gatekeeper), self.target_port
+            target_application(self.admission_controller), self.target_port
         )
         self.operator_port = await self._serve_application(
             self.operators.application(), self.operator_port
@@ -116,7 +116,7 @@
         await asyncio.sleep(LEAVE_SPREAD_S)
         drained = [
             await self.callers.drain(drain_s),
-            await self.gatekeeper.drain(drain_s),
+            await self.admission_controller.drain(drain_s),
             await self.links.drain(drain_s),
         ]
         if not all(drained):
@@ -129,7 +129,7 @@
         await self.gossip.stop()
         await self.timers.stop()
         await self.links.stop()
-        await self.gatekeeper.close()
+        await self.admission_controller.close()
         await self.platform_log.close()
 
     def is_ready(self) -> bool:
@@ -191,7 +191,7 @@
             self.rng,
             lambda: self.driver.possible_writers(),
         )
-        self.driver = MoveDriver(
+        self.driver = RolloutDriver(
             self.store,
             self.table,
             self.shared_moves,
@@ -204,7 +204,7 @@
             self.metrics.count_control_bytes,
         )
         buffered = ByteBudget(settings.calls.max_buffered_bytes)
-        self.gatekeeper = Gatekeeper(
+        self.admission_controller = AdmissionController(
             self.timers,
             self.driver.is_forbidden,
             self.driver.observe,
@@ -213,11 +213,11 @@
             buffered,
             settings.calls.max_body_bytes,
         )
-        self.forwarding = Forwarding(self.links, self.gatekeeper)
+        self.forwarding = Forwarding(self.links, self.admission_controller)
         self.dispatcher = Dispatcher(
             self.table,
             self.shared_moves,
-            self.gatekeeper,
+            self.admission_controller,
             self.forwarding,
             self.metrics,
             self.rng,
--- a/src/bulrushflow/callers/dispatcher.py
+++ b/src/bulrushflow/callers/dispatcher.py
@@ -10,8 +10,8 @@
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
 from bulrushflow.metrics import Metrics
-from bulrushflow.moves import SharedMoves
 from bulrushflow.nodes import Forwarding
+from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.routing import MAX_ATTEMPTS
 from bulrushflow.routing import Call
 from bulrushflow.routing import CallResult
@@ -21,9 +21,9 @@
 from bulrushflow.routing import may_retry
 from bulrushflow.routing import not_run
 from bulrushflow.routing import refused
-from bulrushflow.routing import retry_wait_s
+from bulrushflow.routing import retry_backoff_s
 from bulrushflow.routing.balancer import Balancer
-from bulrushflow.targets import Gatekeeper
+from bulrushflow.targets import AdmissionController
 
 FULL_LOAD = 1.0
 
@@ -34,8 +34,8 @@
     def __init__(
         self,
         table: MemberTable,
-        shared_moves: SharedMoves,
-        gatekeeper: Gatekeeper,
+        shared_moves: SharedRollouts,
+        gatekeeper: AdmissionController,
         forwarding: Forwarding,
         metrics: Metrics,
         rng: random.Random,
@@ -122,7 +122,7 @@
 
     async def _wait(self, call: Call, rounds: int) -> bool:
         """Wait after every target refused; ``False`` when the call has no time for it."""
-        wait_s = retry_wait_s(rounds, self._rng)
+        wait_s = retry_backoff_s(rounds, self._rng)
         if asyncio.get_running_loop().time() + wait_s >= call.deadline:
             return False
         await asyncio.sleep(wait_s)
--- a/src/bulrushflow/callers/server.py
+++ b/src/bulrushflow/callers/server.py
@@ -11,9 +11,9 @@
 
 from bulrushflow.bodies import expected_bytes
 from bulrushflow.bodies import read_body
-from bulrushflow.callers.answers import refusal
-from bulrushflow.callers.answers import response
 from bulrushflow.callers.dispatcher import Dispatcher
+from bulrushflow.callers.responses import refusal
+from bulrushflow.callers.responses import response
 from bulrushflow.configuration import Configuration
 from bulrushflow.configuration import ConfigurationStore
 from bulrushflow.configuration import Route
@@ -25,13 +25,13 @@
 from bulrushflow.routing import outcome_label
 from bulrushflow.settings import CallSettings
 from bulrushflow.targets.client import ATTEMPT_HEADER
-from bulrushflow.targets.client import HOP_HEADERS
+from bulrushflow.targets.client import HOP_BY_HOP_HEADERS
 from bulrushflow.targets.client import REQUEST_ID_HEADER
 from bulrushflow.targets.client import TENANT_HEADER
 from bulrushflow.targets.client import TIMEOUT_HEADER
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE"})
-OWN_HEADERS = HOP_HEADERS | {
+OWN_HEADERS = HOP_BY_HOP_HEADERS | {
     ATTEMPT_HEADER,
     "expect",
     REQUEST_ID_HEADER,
--- a/src/bulrushflow/configuration/__init__.py
+++ b/src/bulrushflow/configuration/__init__.py
@@ -1,17 +1,17 @@
 """Configuration records and the pure fold from the log to what nodes hold."""
 
 from bulrushflow.configuration.fold import MAX_VERDICTS
-from bulrushflow.configuration.fold import Folded
+from bulrushflow.configuration.fold import FoldResult
 from bulrushflow.configuration.fold import LogRecord
 from bulrushflow.configuration.fold import fold
 from bulrushflow.configuration.fold import fold_records
 from bulrushflow.configuration.freshness import Freshness
 from bulrushflow.configuration.freshness import Peer
-from bulrushflow.configuration.model import EMPTY
+from bulrushflow.configuration.model import EMPTY_CONFIGURATION
 from bulrushflow.configuration.model import Configuration
-from bulrushflow.configuration.model import Move
-from bulrushflow.configuration.model import MoveStatus
-from bulrushflow.configuration.model import MoveStep
+from bulrushflow.configuration.model import Rollout
+from bulrushflow.configuration.model import RolloutStatus
+from bulrushflow.configuration.model import RolloutStep
 from bulrushflow.configuration.model import Route
 from bulrushflow.configuration.model import Service
 from bulrushflow.configuration.model import SnapshotMark
@@ -22,14 +22,14 @@
 from bulrushflow.configuration.records import BaseRecord
 from bulrushflow.configuration.records import Configure
 from bulrushflow.configuration.records import EnableSchema
-from bulrushflow.configuration.records import FinishMove
+from bulrushflow.configuration.records import FinishRollout
 from bulrushflow.configuration.records import RecordHeader
-from bulrushflow.configuration.records import RecordStep
+from bulrushflow.configuration.records import RecordRolloutStep
 from bulrushflow.configuration.records import RouteBody
 from bulrushflow.configuration.records import ServiceBody
 from bulrushflow.configuration.records import Snapshot
-from bulrushflow.configuration.records import StartMove
-from bulrushflow.configuration.records import WithdrawMove
+from bulrushflow.configuration.records import StartRollout
+from bulrushflow.configuration.records import WithdrawRollout
 from bulrushflow.configuration.records import encode_record
 from bulrushflow.configuration.records import record_digest
 from bulrushflow.configuration.schemas import SUPPORTED_SCHEMA
@@ -45,7 +45,7 @@
 from bulrushflow.configuration.store import ConfigurationStore
 
 __all__ = [
-    "EMPTY",
+    "EMPTY_CONFIGURATION",
     "MAX_VERDICTS",
     "SUPPORTED_SCHEMA",
     "BaseRecord",
@@ -54,17 +54,17 @@
     "Configure",
     "ConfigureV2",
     "EnableSchema",
-    "FinishMove",
-    "Folded",
+    "FinishRollout",
+    "FoldResult",
     "Freshness",
     "LogRecord",
-    "Move",
-    "MoveStatus",
-    "MoveStep",
     "Peer",
     "Record",
     "RecordHeader",
-    "RecordStep",
+    "RecordRolloutStep",
+    "Rollout",
+    "RolloutStatus",
+    "RolloutStep",
     "Route",
     "RouteBody",
     "RouteBodyV2",
@@ -73,9 +73,9 @@
     "Snapshot",
     "SnapshotMark",
     "SnapshotPolicy",
-    "StartMove",
+    "StartRollout",
     "Verdict",
-    "WithdrawMove",
+    "WithdrawRollout",
     "decode_configuration",
     "decode_header",
     "decode_record",
--- a/src/bulrushflow/configuration/fold.py
+++ b/src/bulrushflow/configuration/fold.py
@@ -11,18 +11,18 @@
 from result import Ok
 from result import Result
 
-from bulrushflow.configuration import move_rules
+from bulrushflow.configuration import rollout_rules
 from bulrushflow.configuration import rules
 from bulrushflow.configuration.model import Configuration
 from bulrushflow.configuration.model import SnapshotMark
 from bulrushflow.configuration.model import Verdict
 from bulrushflow.configuration.records import EnableSchema
-from bulrushflow.configuration.records import FinishMove
+from bulrushflow.configuration.records import FinishRollout
 from bulrushflow.configuration.records import RecordHeader
-from bulrushflow.configuration.records import RecordStep
+from bulrushflow.configuration.records import RecordRolloutStep
 from bulrushflow.configuration.records import Snapshot
-from bulrushflow.configuration.records import StartMove
-from bulrushflow.configuration.records import WithdrawMove
+from bulrushflow.configuration.records import StartRollout
+from bulrushflow.configuration.records import WithdrawRollout
 from bulrushflow.configuration.records import record_digest
 from bulrushflow.configuration.schemas import MADE_AT_SCHEMA
 from bulrushflow.configuration.schemas import SUPPORTED_SCHEMA
@@ -48,7 +48,7 @@
     body: bytes
 
 
-class Folded(msgspec.Struct, frozen=True):
+class FoldResult(msgspec.Struct, frozen=True):
     """What a run of records came to.
 
     When ``unsupported`` is not empty, the record after ``configuration.offset`` needs a later
@@ -75,7 +75,7 @@
     configuration: Configuration,
     log_records: t.Iterable[LogRecord],
     supported: int = SUPPORTED_SCHEMA,
-) -> Folded:
+) -> FoldResult:
     """Apply records in order, up to the first one that this release does not support.
 
     :param supported: highest schema that is understood.
@@ -91,8 +91,8 @@
             case Ok(next_state):
                 state = next_state
             case Err(reason):
-                return Folded(state, f"record {log_record.offset}: {reason}")
-    return Folded(state)
+                return FoldResult(state, f"record {log_record.offset}: {reason}")
+    return FoldResult(state)
 
 
 def _fold_record(
@@ -193,14 +193,14 @@
         return rules.configure(configuration, offset, record)
     if isinstance(record, EnableSchema):
         return rules.enable_schema(configuration, record)
-    if isinstance(record, StartMove):
-        return move_rules.start(configuration, offset, at_ms, record)
-    if isinstance(record, WithdrawMove):
-        return move_rules.withdraw(configuration, offset, at_ms, record)
-    if isinstance(record, RecordStep):
-        return move_rules.step(configuration, offset, at_ms, record)
-    if isinstance(record, FinishMove):
-        return move_rules.finish(configuration, offset, at_ms, record)
+    if isinstance(record, StartRollout):
+        return rollout_rules.start(configuration, offset, at_ms, record)
+    if isinstance(record, WithdrawRollout):
+        return rollout_rules.withdraw(configuration, offset, at_ms, record)
+    if isinstance(record, RecordRolloutStep):
+        return rollout_rules.step(configuration, offset, at_ms, record)
+    if isinstance(record, FinishRollout):
+        return rollout_rules.finish(configuration, offset, at_ms, record)
     return _mark_snapshot(configuration, log_record, record)
 
 
--- a/src/bulrushflow/configuration/freshness.py
+++ b/src/bulrushflow/configuration/freshness.py
@@ -3,7 +3,7 @@
 import typing as t
 from dataclasses import dataclass
 
-PAUSE_S = 2.0
+PAUSE_THRESHOLD_S = 2.0
 """A gap of this length between two looks at the clock means that the process stood still."""
 PEERS_NEEDED = 2
 DATA_CENTRES_NEEDED = 2
@@ -12,7 +12,7 @@
 READER_TRUSTED_AFTER_S = 2.0
 """From so far into a check on, one peer that reads the log stands for the log."""
 MANY_PEERS = 5
-MANY_TRUSTED_AFTER_S = 5.0
+CHECKING_PEERS_ACCEPTED_AFTER_S = 5.0
 """From so far into a check on, many peers stand for fresh ones, as all may have been paused."""
 
 
@@ -65,7 +65,7 @@
         """Note the time; return whether a pause was found, which begins a check."""
         gap_s = now - self._looked_at
         self._looked_at = now
-        if gap_s <= PAUSE_S:
+        if gap_s <= PAUSE_THRESHOLD_S:
             return False
         self.begin_check()
         return True
@@ -144,7 +144,7 @@
             return True
         heard = sum(1 for peer in self._every_offset_by_peer if peer in others)
         many = heard >= max(1, min(MANY_PEERS, len(others)))
-        return many and self.was_fresh and checked_s >= MANY_TRUSTED_AFTER_S
+        return many and self.was_fresh and checked_s >= CHECKING_PEERS_ACCEPTED_AFTER_S
 
     def _enough_peers(self, own: Peer, others: t.Collection[Peer]) -> bool:
         heard = [peer for peer in self._heard_by_peer if peer in others]
--- a/src/bulrushflow/configuration/model.py
+++ b/src/bulrushflow/configuration/model.py
@@ -40,7 +40,7 @@
         return self.idempotent or method.upper() in self.idempotent_methods
 
 
-class MoveStatus(enum.StrEnum):
+class RolloutStatus(enum.StrEnum):
     """What the log says of a move; all but ``active`` are final."""
 
     ACTIVE = "active"
@@ -49,7 +49,7 @@
     WITHDRAWN = "withdrawn"
 
 
-class MoveStep(msgspec.Struct, frozen=True):
+class RolloutStep(msgspec.Struct, frozen=True):
     """One entry in a move's account."""
 
     offset: int
@@ -60,7 +60,7 @@
     node_id: str
 
 
-class Move(msgspec.Struct, frozen=True):
+class Rollout(msgspec.Struct, frozen=True):
     """An operator's intent to bring a service to a version by a time, and its account."""
 
     move_id: str
@@ -71,8 +71,8 @@
     stated_at_ms: int
     finish_by_ms: int
     operator: str
-    status: MoveStatus = MoveStatus.ACTIVE
-    steps: tuple[MoveStep, ...] = ()
+    status: RolloutStatus = RolloutStatus.ACTIVE
+    steps: tuple[RolloutStep, ...] = ()
     finished_at_ms: int = 0
     finished_offset: int = 0
     reason: str = ""
@@ -108,20 +108,20 @@
     schema_level: int = 1
     services_by_name: dict[str, Service] = {}
     routes_by_path: dict[str, Route] = {}
-    moves_by_id: dict[str, Move] = {}
+    moves_by_id: dict[str, Rollout] = {}
     verdicts_by_publish_id: dict[str, Verdict] = {}
     newest_snapshot: SnapshotMark = SnapshotMark()
 
-    def active_rollout(self, service: str) -> Move | None:
+    def active_rollout(self, service: str) -> Rollout | None:
         """Return the service's move that has no final record, if any."""
         for move in self.moves_by_id.values():
-            if move.service == service and move.status is MoveStatus.ACTIVE:
+            if move.service == service and move.status is RolloutStatus.ACTIVE:
                 return move
         return None
 
-    def active_rollouts(self) -> list[Move]:
+    def active_rollouts(self) -> list[Rollout]:
         """Return all moves that have no final record."""
-        return [m for m in self.moves_by_id.values() if m.status is MoveStatus.ACTIVE]
+        return [m for m in self.moves_by_id.values() if m.status is RolloutStatus.ACTIVE]
 
 
 def encode_configuration(configuration: Configuration) -> bytes:
@@ -168,4 +168,4 @@
     return xxhash.xxh3_128_hexdigest(data)
 
 
-EMPTY: t.Final = Configuration()
+EMPTY_CONFIGURATION: t.Final = Configuration()
--- a/src/bulrushflow/configuration/records.py
+++ b/src/bulrushflow/configuration/records.py
@@ -71,7 +71,7 @@
     level: int
 
 
-class StartMove(BaseRecord, frozen=True, tag="start_move"):
+class StartRollout(BaseRecord, frozen=True, tag="start_move"):
     """Bring ``service`` to ``to_version`` by ``finish_by_ms`` (epoch milliseconds)."""
 
     operator: Identifier
@@ -80,7 +80,7 @@
     finish_by_ms: int
 
 
-class WithdrawMove(BaseRecord, frozen=True, tag="withdraw_move"):
+class WithdrawRollout(BaseRecord, frozen=True, tag="withdraw_move"):
     """Take a move back on an operator's word."""
 
     operator: Identifier
@@ -88,7 +88,7 @@
     reason: str = ""
 
 
-class RecordStep(BaseRecord, frozen=True, tag="move_step"):
+class RecordRolloutStep(BaseRecord, frozen=True, tag="move_step"):
     """A driver's step of a move, for its account."""
 
     move_id: Identifier
@@ -98,7 +98,7 @@
     node_id: str
 
 
-class FinishMove(BaseRecord, frozen=True, tag="finish_move"):
+class FinishRollout(BaseRecord, frozen=True, tag="finish_move"):
     """The system's own final word on a move."""
 
     move_id: Identifier
--- a/src/bulrushflow/configuration/move_rules.py
+++ b/src/bulrushflow/configuration/rollout_rules.py
@@ -6,21 +6,21 @@
 from result import Result
 
 from bulrushflow.configuration.model import Configuration
-from bulrushflow.configuration.model import Move
-from bulrushflow.configuration.model import MoveStatus
-from bulrushflow.configuration.model import MoveStep
+from bulrushflow.configuration.model import Rollout
+from bulrushflow.configuration.model import RolloutStatus
+from bulrushflow.configuration.model import RolloutStep
 from bulrushflow.configuration.model import Service
-from bulrushflow.configuration.records import FinishMove
-from bulrushflow.configuration.records import RecordStep
-from bulrushflow.configuration.records import StartMove
-from bulrushflow.configuration.records import WithdrawMove
+from bulrushflow.configuration.records import FinishRollout
+from bulrushflow.configuration.records import RecordRolloutStep
+from bulrushflow.configuration.records import StartRollout
+from bulrushflow.configuration.records import WithdrawRollout
 
 MAX_FINISHED_MOVES = 64
 """Finished moves whose account stays in the state."""
 
 
 def start(
-    configuration: Configuration, offset: int, at_ms: int, record: StartMove
+    configuration: Configuration, offset: int, at_ms: int, record: StartRollout
 ) -> Result[Configuration, str]:
     """Take up an operator's intent, unless the service has a move or is there already."""
     known = configuration.moves_by_id.get(record.publish_id)
@@ -39,7 +39,7 @@
         return Err(f"service {record.service!r} is at version {record.to_version!r} already")
     if record.finish_by_ms <= at_ms:
         return Err("the time to finish by has passed")
-    move = Move(
+    move = Rollout(
         move_id=record.publish_id,
         offset=offset,
         service=record.service,
@@ -52,19 +52,19 @@
     return Ok(_with_move(configuration, move))
 
 
-def _with_move(configuration: Configuration, move: Move) -> Configuration:
+def _with_move(configuration: Configuration, move: Rollout) -> Configuration:
     moves = {**configuration.moves_by_id, move.move_id: move}
-    finished = [m for m in moves.values() if m.status is not MoveStatus.ACTIVE]
+    finished = [m for m in moves.values() if m.status is not RolloutStatus.ACTIVE]
     for old in finished[: max(0, len(finished) - MAX_FINISHED_MOVES)]:
         del moves[old.move_id]
     return msgspec.structs.replace(configuration, moves_by_id=moves)
 
 
-def _active(configuration: Configuration, move_id: str) -> Result[Move, str]:
+def _active(configuration: Configuration, move_id: str) -> Result[Rollout, str]:
     move = configuration.moves_by_id.get(move_id)
     if move is None:
         return Err(f"unknown move {move_id!r}")
-    if move.status is not MoveStatus.ACTIVE:
+    if move.status is not RolloutStatus.ACTIVE:
         return Err(
             f"move {move_id!r} is {move.status} already, at offset {move.finished_offset} "
             f"by {move.decided_by}"
@@ -73,7 +73,7 @@
 
 
 def withdraw(
-    configuration: Configuration, offset: int, at_ms: int, record: WithdrawMove
+    configuration: Configuration, offset: int, at_ms: int, record: WithdrawRollout
 ) -> Result[Configuration, str]:
     """End a move on an operator's word."""
     return _active(configuration, record.move_id).map(
@@ -81,7 +81,7 @@
             configuration,
             msgspec.structs.replace(
                 move,
-                status=MoveStatus.WITHDRAWN,
+                status=RolloutStatus.WITHDRAWN,
                 finished_at_ms=at_ms,
                 finished_offset=offset,
                 reason=record.reason or "withdrawn by an operator",
@@ -92,10 +92,10 @@
 
 
 def step(
-    configuration: Configuration, offset: int, at_ms: int, record: RecordStep
+    configuration: Configuration, offset: int, at_ms: int, record: RecordRolloutStep
 ) -> Result[Configuration, str]:
     """Add one step to a move's account."""
-    entry = MoveStep(
+    entry = RolloutStep(
         offset, at_ms, record.share_permille, record.rule, record.evidence, record.node_id
     )
     return _active(configuration, record.move_id).map(
@@ -106,7 +106,7 @@
 
 
 def finish(
-    configuration: Configuration, offset: int, at_ms: int, record: FinishMove
+    configuration: Configuration, offset: int, at_ms: int, record: FinishRollout
 ) -> Result[Configuration, str]:
     """End a move on the system's word; a finished one puts its version in place."""
     match _active(configuration, record.move_id):
@@ -116,7 +116,7 @@
             pass
     finished = msgspec.structs.replace(
         move,
-        status=MoveStatus.ROLLED_BACK if record.taken_back else MoveStatus.COMPLETED,
+        status=RolloutStatus.ROLLED_BACK if record.taken_back else RolloutStatus.COMPLETED,
         finished_at_ms=at_ms,
         finished_offset=offset,
         reason=record.reason,
--- a/src/bulrushflow/configuration/schemas.py
+++ b/src/bulrushflow/configuration/schemas.py
@@ -15,16 +15,16 @@
 from bulrushflow.configuration.records import BaseRecord
 from bulrushflow.configuration.records import Configure
 from bulrushflow.configuration.records import EnableSchema
-from bulrushflow.configuration.records import FinishMove
+from bulrushflow.configuration.records import FinishRollout
 from bulrushflow.configuration.records import Identifier
 from bulrushflow.configuration.records import Path
 from bulrushflow.configuration.records import RecordHeader
-from bulrushflow.configuration.records import RecordStep
+from bulrushflow.configuration.records import RecordRolloutStep
 from bulrushflow.configuration.records import RouteBody
 from bulrushflow.configuration.records import ServiceBody
 from bulrushflow.configuration.records import Snapshot
-from bulrushflow.configuration.records import StartMove
-from bulrushflow.configuration.records import WithdrawMove
+from bulrushflow.configuration.records import StartRollout
+from bulrushflow.configuration.records import WithdrawRollout
 
 SUPPORTED_SCHEMA = 2
 """The highest record schema that this program reads and writes."""
@@ -54,9 +54,23 @@
     base: dict[str, int] = msgspec.field(default_factory=dict)
 
 
-RecordV1 = Configure | EnableSchema | StartMove | WithdrawMove | RecordStep | FinishMove | Snapshot
+RecordV1 = (
+    Configure
+    | EnableSchema
+    | StartRollout
+    | WithdrawRollout
+    | RecordRolloutStep
+    | FinishRollout
+    | Snapshot
+)
 RecordV2 = (
-    ConfigureV2 | EnableSchema | StartMove | WithdrawMove | RecordStep | FinishMove | Snapshot
+    ConfigureV2
+    | EnableSchema
+    | StartRollout
+    | WithdrawRollout
+    | RecordRolloutStep
+    | FinishRollout
+    | Snapshot
 )
 Record = RecordV1 | ConfigureV2
 """A record in the shape it was written in."""
--- a/src/bulrushflow/configuration/store.py
+++ b/src/bulrushflow/configuration/store.py
@@ -10,7 +10,7 @@
 
 from bulrushflow.configuration.fold import LogRecord
 from bulrushflow.configuration.fold import fold_records
-from bulrushflow.configuration.model import EMPTY
+from bulrushflow.configuration.model import EMPTY_CONFIGURATION
 from bulrushflow.configuration.model import Configuration
 from bulrushflow.configuration.model import SnapshotMark
 from bulrushflow.configuration.model import decode_configuration
@@ -20,8 +20,8 @@
 from bulrushflow.configuration.snapshots import unpack
 from bulrushflow.exceptions import InvariantError
 
-MAX_HELD_RECORDS = 1024
-MAX_HELD_BYTES = 4 << 20
+MAX_RETAINED_RECORDS = 1024
+MAX_RETAINED_BYTES = 4 << 20
 MAX_PAGE_BYTES = 256 << 10
 """Bytes of records in one answer to a peer; a single larger record still goes out."""
 MAX_DIGESTS = 64
@@ -47,7 +47,7 @@
     )
 
     def __init__(self, supported: int = SUPPORTED_SCHEMA) -> None:
-        self.current: Configuration = EMPTY
+        self.current: Configuration = EMPTY_CONFIGURATION
         self.unsupported = ""
         """Why the next record can't be applied by this release; empty when it can."""
         self._supported = supported
@@ -158,7 +158,7 @@
         for record in records:
             self._records.append(record)
             self._held_bytes += len(record.body)
-        while len(self._records) > MAX_HELD_RECORDS or self._held_bytes > MAX_HELD_BYTES:
+        while len(self._records) > MAX_RETAINED_RECORDS or self._held_bytes > MAX_RETAINED_BYTES:
             self._held_bytes -= len(self._records.popleft().body)
 
     def _swap(self, configuration: Configuration) -> None:
--- a/src/bulrushflow/membership/detection.py
+++ b/src/bulrushflow/membership/detection.py
@@ -12,7 +12,7 @@
 MAX_DOUBT = 4
 
 
-def suspicion_s(base_s: float, members: int) -> float:
+def suspicion_timeout_s(base_s: float, members: int) -> float:
     """Return how long a member stays suspected among ``members`` nodes, in seconds.
 
     News takes time logarithmic in the number of nodes to reach the suspected one and come back.
--- a/src/bulrushflow/membership/rendezvous.py
+++ b/src/bulrushflow/membership/rendezvous.py
@@ -7,12 +7,12 @@
 from bulrushflow.membership.members import Member
 
 
-def rank(members: t.Iterable[Member], key: str) -> list[Member]:
+def rank_members(members: t.Iterable[Member], key: str) -> list[Member]:
     """Return the members in the order in which they should serve ``key``."""
     return sorted(members, key=lambda m: _score(key, m.node_id), reverse=True)
 
 
-def chosen(members: t.Iterable[Member], key: str, node_id: str, count: int) -> bool:
+def is_top_ranked(members: t.Iterable[Member], key: str, node_id: str, count: int) -> bool:
     """Tell whether ``node_id`` is among the first ``count`` members for ``key``.
 
     Stops at the ``count``-th member that ranks higher, so most nodes hash only a few ids.
--- a/src/bulrushflow/membership/table.py
+++ b/src/bulrushflow/membership/table.py
@@ -140,12 +140,12 @@
         return self._cached("alive", "", lambda: [*own, *self.live_peers()])
 
     def live_peers(self) -> list[Member]:
-        """Return :meth:`alive` without this node."""
+        """Return :meth:`live_members` without this node."""
         alive, suspects = self._others(Status.ALIVE), self._others(Status.SUSPECT)
         return self._cached("others", "", lambda: [*alive.values(), *suspects.values()])
 
     def in_data_centre(self, data_centre: str) -> list[Member]:
-        """Return :meth:`alive` in one data centre."""
+        """Return :meth:`live_members` in one data centre."""
         near = self._live_by_data_centre.get(data_centre, {})
         return self._cached("data_centre", data_centre, lambda: list(near.values()))
 
--- a/src/bulrushflow/membership/news.py
+++ b/src/bulrushflow/membership/update_queue.py
@@ -10,7 +10,7 @@
 K = t.TypeVar("K", bound=t.Hashable)
 
 
-class Priority(enum.IntEnum):
+class UpdatePriority(enum.IntEnum):
     """Which news goes first when a datagram has no room for all."""
 
     URGENT = 0
@@ -21,12 +21,12 @@
     DEAD = 3
 
 
-def transmissions(members: int) -> int:
+def transmission_limit(members: int) -> int:
     """Return how often one node passes an item on among ``members`` nodes."""
     return max(MIN_TRANSMISSIONS, TRANSMISSION_FACTOR * math.ceil(math.log2(members + 1)))
 
 
-class NewsQueue(t.Generic[K]):
+class UpdateQueue(t.Generic[K]):
     """Items by key; those that were passed on least often go first within a priority."""
 
     __slots__ = ("_keys_by_rank", "_rank_by_key")
--- a/src/bulrushflow/nodes/composing.py
+++ b/src/bulrushflow/nodes/composing.py
@@ -5,13 +5,13 @@
 
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
-from bulrushflow.membership import NewsQueue
-from bulrushflow.membership import Priority
 from bulrushflow.membership import Status
 from bulrushflow.membership import TargetState
-from bulrushflow.membership import transmissions
-from bulrushflow.moves import SharedMove
-from bulrushflow.moves import SharedMoves
+from bulrushflow.membership import UpdatePriority
+from bulrushflow.membership import UpdateQueue
+from bulrushflow.membership import transmission_limit
+from bulrushflow.rollouts import SharedRollout
+from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.wire import codec
 from bulrushflow.wire import messages
 
@@ -32,15 +32,15 @@
     NOTHING = enum.auto()
 
 
-def priority(member: Member) -> Priority:
+def priority(member: Member) -> UpdatePriority:
     """Return how urgently a member's entry has to be passed on."""
     if member.status is Status.LEFT:
-        return Priority.URGENT
+        return UpdatePriority.URGENT
     if member.target is not None and member.target.state >= TargetState.DRAINING:
-        return Priority.URGENT
+        return UpdatePriority.URGENT
     if member.status is Status.ALIVE:
-        return Priority.ALIVE
-    return Priority.DEAD if member.status is Status.DEAD else Priority.SUSPECT
+        return UpdatePriority.ALIVE
+    return UpdatePriority.DEAD if member.status is Status.DEAD else UpdatePriority.SUSPECT
 
 
 class Composer:
@@ -49,15 +49,15 @@
     def __init__(
         self,
         table: MemberTable,
-        shared_moves: SharedMoves,
+        shared_moves: SharedRollouts,
         applied_offset: t.Callable[[], int],
     ) -> None:
         self._table = table
         self._shared_moves = shared_moves
         self._applied_offset = applied_offset
-        self._members: NewsQueue[str] = NewsQueue()
-        self._moves: NewsQueue[int] = NewsQueue()
-        self._seen_by_offset: dict[int, tuple[SharedMove, int]] = {}
+        self._members: UpdateQueue[str] = UpdateQueue()
+        self._moves: UpdateQueue[int] = UpdateQueue()
+        self._seen_by_offset: dict[int, tuple[SharedRollout, int]] = {}
         self._rotation: list[int] = []
 
     def tell(self, member: Member) -> None:
@@ -66,7 +66,7 @@
 
     def drop_doubts(self) -> None:
         """Stop passing on that members are dead or suspected."""
-        self._members.discard_from(Priority.SUSPECT)
+        self._members.discard_from(UpdatePriority.SUSPECT)
 
     def note_equal(self) -> None:
         """Note that another node's live members are the same as this one's.
@@ -74,8 +74,8 @@
         It knows then who lives and who leaves. Suspicions are not in the digest, and that a
         member is dead goes to all the same, since joiners may have fetched it alive.
         """
-        limit = transmissions(len(self._table.live_members()))
-        self._members.count_as_sent(limit, Priority.ALIVE)
+        limit = transmission_limit(len(self._table.live_members()))
+        self._members.count_as_sent(limit, UpdatePriority.ALIVE)
 
     def datagram(self, extra: t.Sequence[Member], told: Told = Told.ALL, **body: t.Any) -> bytes:
         """Encode a datagram: ``extra`` members, then the news to tell that still fits."""
@@ -85,8 +85,8 @@
         if told is Told.NOTHING:
             return messages.encode(messages.Datagram(gossip=self._gossip(extra, ()), **body))
         moves, moves_bytes = self._take_moves() if budget >= MOVES_BYTES else ([], 0)
-        limit = transmissions(len(self._table.live_members()))
-        only = Priority.SUSPECT if told is Told.SUSPICIONS else None
+        limit = transmission_limit(len(self._table.live_members()))
+        only = UpdatePriority.SUSPECT if told is Told.SUSPICIONS else None
         ids = self._members.next_batch(budget - moves_bytes, self._member_size, limit, only)
         members = [*extra, *(self._table.by_id[i] for i in ids)]
         return messages.encode(messages.Datagram(gossip=self._gossip(members, moves), **body))
@@ -111,7 +111,7 @@
             left -= size
         return batches
 
-    def _gossip(self, members: t.Iterable[Member], moves: t.Iterable[SharedMove]) -> t.Any:
+    def _gossip(self, members: t.Iterable[Member], moves: t.Iterable[SharedRollout]) -> t.Any:
         return messages.Gossip(
             sender=self._table.own_id,
             offset=self._applied_offset(),
@@ -125,7 +125,7 @@
         member = self._table.by_id.get(node_id)
         return codec.member_size(member) if member is not None else 0
 
-    def _take_moves(self) -> tuple[list[SharedMove], int]:
+    def _take_moves(self) -> tuple[list[SharedRollout], int]:
         """Return changed moves and one in rotation, and their bytes.
 
         A move that is too large for its share goes alone, or it would never be told.
@@ -133,7 +133,7 @@
         self._observe_moves()
         if not self._seen_by_offset:
             return [], 0
-        limit = transmissions(len(self._table.live_members()))
+        limit = transmission_limit(len(self._table.live_members()))
         offsets = self._moves.next_batch(
             MOVES_BYTES, lambda o: min(MOVES_BYTES, self._move_size(o)), limit
         )
@@ -158,7 +158,7 @@
                 continue
             size = len(messages.encode(codec.move_to_message(state)))
             self._seen_by_offset[offset] = (state, size)
-            self._moves.add(offset, Priority.URGENT)
+            self._moves.add(offset, UpdatePriority.URGENT)
 
     def _move_size(self, offset: int) -> int:
         seen = self._seen_by_offset.get(offset)
--- a/src/bulrushflow/nodes/detector.py
+++ b/src/bulrushflow/nodes/detector.py
@@ -14,7 +14,7 @@
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import ProbeOrder
 from bulrushflow.membership import Status
-from bulrushflow.membership import suspicion_s
+from bulrushflow.membership import suspicion_timeout_s
 from bulrushflow.settings import GossipSettings
 from bulrushflow.timers import Timers
 
@@ -102,7 +102,7 @@
         if not self._is_refreshed():
             return
         now = self._timers.now()
-        limit_s = suspicion_s(self._settings.suspicion_s, len(self._table.live_members()))
+        limit_s = suspicion_timeout_s(self._settings.suspicion_s, len(self._table.live_members()))
         for member in self._table.suspects():
             if now - self._table.changed_at(member.node_id) >= limit_s:
                 self._raise(member.node_id, Status.DEAD)
--- a/src/bulrushflow/nodes/driving.py
+++ b/src/bulrushflow/nodes/driving.py
@@ -11,26 +11,26 @@
 
 from bulrushflow.configuration import Configuration
 from bulrushflow.configuration import ConfigurationStore
-from bulrushflow.configuration import Move
+from bulrushflow.configuration import Rollout
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import TargetState
-from bulrushflow.membership import rank
-from bulrushflow.moves import EvidenceBook
-from bulrushflow.moves import Judgement
-from bulrushflow.moves import MoveController
-from bulrushflow.moves import MoveTimes
-from bulrushflow.moves import Pace
-from bulrushflow.moves import SharedMove
-from bulrushflow.moves import SharedMoves
-from bulrushflow.moves import Verdict
-from bulrushflow.moves import VersionGate
-from bulrushflow.moves import WarmUp
+from bulrushflow.membership import rank_members
 from bulrushflow.nodes.evidence_freshness import EvidenceFreshness
 from bulrushflow.nodes.move_records import MoveRecords
 from bulrushflow.nodes.move_records import Submitter
 from bulrushflow.nodes.reporting import CountBytes
 from bulrushflow.nodes.reporting import Reporting
+from bulrushflow.rollouts import AnalysisOutcome
+from bulrushflow.rollouts import AnalysisResult
+from bulrushflow.rollouts import EvidenceStore
+from bulrushflow.rollouts import RolloutController
+from bulrushflow.rollouts import RolloutTimes
+from bulrushflow.rollouts import SharedRollout
+from bulrushflow.rollouts import SharedRollouts
+from bulrushflow.rollouts import StepDecision
+from bulrushflow.rollouts import VersionFilter
+from bulrushflow.rollouts import WarmUp
 from bulrushflow.routing import Call
 from bulrushflow.timers import Callback
 from bulrushflow.timers import Clock
@@ -70,14 +70,14 @@
         """Call back about every ``period_s`` seconds."""
 
 
-class MoveDriver:
+class RolloutDriver:
     """This node's part in moves of the service that its own target belongs to."""
 
     def __init__(
         self,
         store: ConfigurationStore,
         table: MemberTable,
-        shared_moves: SharedMoves,
+        shared_moves: SharedRollouts,
         links: EvidenceLinks,
         gossip: Spreader,
         recorder: Submitter,
@@ -86,7 +86,7 @@
         rng: random.Random,
         count_bytes: CountBytes = lambda direction, kind, count: None,
     ) -> None:
-        self.book = EvidenceBook(table.own_id, table.own.incarnation)
+        self.book = EvidenceStore(table.own_id, table.own.incarnation)
         self.reporting = Reporting(self.book, table.own_id, links, count_bytes)
         self._store = store
         self._table = table
@@ -95,10 +95,10 @@
         self._records = MoveRecords(recorder, table.own_id)
         self._clock = clock
         self._rng = rng
-        self._gate = VersionGate()
+        self._gate = VersionFilter()
         self._warm_up = WarmUp()
         self._freshness = EvidenceFreshness(self.book, table)
-        self._controllers_by_move: dict[int, MoveController] = {}
+        self._controllers_by_move: dict[int, RolloutController] = {}
         self._taken_back_seen_at: dict[int, float] = {}
         self._done_decided_at: dict[int, float] = {}
         self._held_since: dict[int, float] = {}
@@ -151,30 +151,30 @@
         targets = (member.target for member in self._table.live_members())
         return sum(1 for target in targets if target is not None and target.service in moving)
 
-    def _group(self, move: Move) -> list[Member]:
+    def _group(self, move: Rollout) -> list[Member]:
         return [
             m
             for m in self._table.live_members()
             if m.target is not None and m.target.service == move.service
         ]
 
-    def _controller(self, move: Move, now_s: float) -> MoveController:
+    def _controller(self, move: Rollout, now_s: float) -> RolloutController:
         controller = self._controllers_by_move.get(move.offset)
         if controller is None:
-            times = MoveTimes(move.stated_at_ms, move.finish_by_ms)
-            controller = MoveController(move.from_version, move.to_version, times, now_s)
+            times = RolloutTimes(move.stated_at_ms, move.finish_by_ms)
+            controller = RolloutController(move.from_version, move.to_version, times, now_s)
             self._controllers_by_move[move.offset] = controller
         return controller
 
-    def _decide(self, move: Move, group: list[Member], now_s: float) -> None:
+    def _decide(self, move: Rollout, group: list[Member], now_s: float) -> None:
         controller = self._controller(move, now_s)
         share = self._shared_moves.share_permille(move.offset)
         verdict = controller.update_analysis(self.book.totals(move.offset), share, now_s)
-        ranked = [m.node_id for m in rank(group, f"move/{move.offset}")]
+        ranked = [m.node_id for m in rank_members(group, f"move/{move.offset}")]
         if self._shared_moves.is_rolled_back(move.offset):
             self._record_taken_back(move, ranked, now_s)
             return
-        if verdict.outcome is Judgement.FAULTY:
+        if verdict.outcome is AnalysisOutcome.FAULTY:
             self._take_back(move, f"{verdict.rule}: {verdict.evidence}")
             self._record_taken_back(move, ranked, now_s)
             return
@@ -183,21 +183,25 @@
         pace = controller.next_step(share, self._clock.wall_ms(), now_s)
         self._act(move, share, self._checked(move, share, pace, now_s), verdict, now_s)
 
-    def _checked(self, move: Move, share: int, pace: Pace, now_s: float) -> Pace:
+    def _checked(self, move: Rollout, share: int, pace: StepDecision, now_s: float) -> StepDecision:
         """Hold a step that lacks a ready target or fresh evidence; a take-back never waits."""
         if pace.roll_back or (not pace.completed and pace.share_permille <= share):
             return pace
         if not self._table.ready_targets(move.service, move.to_version):
-            return Pace(share, f"no ready target of version {move.to_version}", at_risk=True)
+            return StepDecision(
+                share, f"no ready target of version {move.to_version}", at_risk=True
+            )
         missing = self._freshness.missing(move, now_s)
         if missing:
             held_since = self._held_since.setdefault(move.offset, now_s)
             at_risk = now_s - held_since >= HELD_AT_RISK_S
-            return Pace(share, f"no fresh evidence from {missing}", at_risk=at_risk)
+            return StepDecision(share, f"no fresh evidence from {missing}", at_risk=at_risk)
         self._held_since.pop(move.offset, None)
         return pace
 
-    def _act(self, move: Move, share: int, pace: Pace, verdict: Verdict, now_s: float) -> None:
+    def _act(
+        self, move: Rollout, share: int, pace: StepDecision, verdict: AnalysisResult, now_s: float
+    ) -> None:
         if pace.roll_back:
             self._take_back(move, f"{pace.rule} ({verdict.evidence})")
             return
@@ -211,7 +215,7 @@
         if pace.share_permille <= share:
             return
         logger.info("move {} goes to {}%", move.move_id, pace.share_permille / 10)
-        self._shared_moves.merge(SharedMove(move.offset, pace.share_permille))
+        self._shared_moves.merge(SharedRollout(move.offset, pace.share_permille))
         self._gossip.spread_now()
         self._records.step(move, pace.share_permille, pace.rule, verdict.evidence)
 
@@ -222,16 +226,16 @@
         decided_at = self._done_decided_at.get(offset)
         return decided_at is not None and self._clock.monotonic() - decided_at < DONE_VALID_S
 
-    def _take_back(self, move: Move, reason: str) -> None:
+    def _take_back(self, move: Rollout, reason: str) -> None:
         # The reason goes into datagrams, and a route's name may be long.
         reason = reason[:MAX_REASON_CHARS]
         logger.warning("move {} is taken back: {}", move.move_id, reason)
         share = self._shared_moves.share_permille(move.offset)
         own_id = self._table.own_id
-        self._shared_moves.merge(SharedMove(move.offset, share, True, reason, own_id))
+        self._shared_moves.merge(SharedRollout(move.offset, share, True, reason, own_id))
         self._gossip.spread_now()
 
-    def _record_taken_back(self, move: Move, ranked: list[str], now_s: float) -> None:
+    def _record_taken_back(self, move: Rollout, ranked: list[str], now_s: float) -> None:
         seen_at = self._taken_back_seen_at.get(move.offset)
         if seen_at is None:
             # The wait differs between nodes, so that most find the record on the log already.
--- a/src/bulrushflow/nodes/evidence_freshness.py
+++ b/src/bulrushflow/nodes/evidence_freshness.py
@@ -1,8 +1,8 @@
 """Whether the evidence that this node holds is recent enough to raise a share on."""
 
-from bulrushflow.configuration import Move
+from bulrushflow.configuration import Rollout
 from bulrushflow.membership import MemberTable
-from bulrushflow.moves import EvidenceBook
+from bulrushflow.rollouts import EvidenceStore
 
 FRESH_S = 4.0
 """Age up to which a node's last report counts as fresh, on this node's monotonic clock."""
@@ -17,7 +17,7 @@
 
     __slots__ = ("_book", "_table", "_ticked_at", "_trusted_after")
 
-    def __init__(self, book: EvidenceBook, table: MemberTable) -> None:
+    def __init__(self, book: EvidenceStore, table: MemberTable) -> None:
         self._book = book
         self._table = table
         self._ticked_at: float | None = None
@@ -29,7 +29,7 @@
             self._trusted_after = now_s + SETTLE_S
         self._ticked_at = now_s
 
-    def missing(self, move: Move, now_s: float) -> str:
+    def missing(self, move: Rollout, now_s: float) -> str:
         """Return whose report is missing for a go-ahead; empty when none is.
 
         Every ready target of the new version and at least half of the old version's must have
@@ -46,7 +46,7 @@
             return f"{len(old) - len(heard)} of {len(old)} nodes of version {move.from_version}"
         return ""
 
-    def _is_heard(self, move: Move, node_id: str, now_s: float) -> bool:
+    def _is_heard(self, move: Rollout, node_id: str, now_s: float) -> bool:
         if node_id == self._table.own_id:
             return True
         heard_at = self._book.last_report_at(move.offset, node_id)
--- a/src/bulrushflow/nodes/gossip.py
+++ b/src/bulrushflow/nodes/gossip.py
@@ -11,9 +11,8 @@
 
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
-from bulrushflow.membership import Priority
 from bulrushflow.membership import Status
-from bulrushflow.moves import SharedMoves
+from bulrushflow.membership import UpdatePriority
 from bulrushflow.nodes.composing import Composer
 from bulrushflow.nodes.composing import Told
 from bulrushflow.nodes.composing import priority
@@ -25,6 +24,7 @@
 from bulrushflow.nodes.probing import Ack
 from bulrushflow.nodes.probing import Probes
 from bulrushflow.nodes.synchronizing import Synchronizer
+from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.settings import GossipSettings
 from bulrushflow.timers import Timers
 from bulrushflow.wire import codec
@@ -53,7 +53,7 @@
     def __init__(
         self,
         table: MemberTable,
-        shared_moves: SharedMoves,
+        shared_moves: SharedRollouts,
         links: Links,
         timers: Timers,
         settings: GossipSettings,
@@ -257,7 +257,7 @@
             self._spread_soon()
         elif is_news:
             self._composer.tell(held)
-            if priority(held) is Priority.URGENT:
+            if priority(held) is UpdatePriority.URGENT:
                 self._spread_soon()
         return True
 
--- a/src/bulrushflow/nodes/introductions.py
+++ b/src/bulrushflow/nodes/introductions.py
@@ -12,7 +12,7 @@
 from result import Result
 
 from bulrushflow.membership import MemberTable
-from bulrushflow.membership import chosen
+from bulrushflow.membership import is_top_ranked
 from bulrushflow.recording import INTRODUCTION_STREAM
 from bulrushflow.recording import Log
 from bulrushflow.recording import LogError
@@ -145,7 +145,7 @@
     def _is_introducer(self) -> bool:
         own = self._table.own
         near = self._table.in_data_centre(own.data_centre)
-        return chosen(near, "introducer", own.node_id, WANTED_PER_DATA_CENTRE)
+        return is_top_ranked(near, "introducer", own.node_id, WANTED_PER_DATA_CENTRE)
 
     async def _read(self) -> Result[list[Posted], LogError]:
         result = await self._log.tail(INTRODUCTION_STREAM, TAIL_RECORDS)
--- a/src/bulrushflow/nodes/move_records.py
+++ b/src/bulrushflow/nodes/move_records.py
@@ -6,11 +6,11 @@
 
 import typing as t
 
-from bulrushflow.configuration import FinishMove
-from bulrushflow.configuration import Move
+from bulrushflow.configuration import FinishRollout
 from bulrushflow.configuration import Record
-from bulrushflow.configuration import RecordStep
-from bulrushflow.moves import SharedMove
+from bulrushflow.configuration import RecordRolloutStep
+from bulrushflow.configuration import Rollout
+from bulrushflow.rollouts import SharedRollout
 
 RECORD_SCHEMA = 1
 
@@ -31,18 +31,18 @@
         self._recorder = recorder
         self._own_id = own_id
 
-    def step(self, move: Move, share_permille: int, rule: str, evidence: str) -> None:
+    def step(self, move: Rollout, share_permille: int, rule: str, evidence: str) -> None:
         """Record that the share was raised."""
         self._step(move, f"step/{share_permille}", share_permille, rule, evidence)
 
-    def at_risk(self, move: Move, share_permille: int, reason: str, evidence: str) -> None:
+    def at_risk(self, move: Rollout, share_permille: int, reason: str, evidence: str) -> None:
         """Record, once a move, that its deadline may not be met safely."""
         self._step(move, "at-risk", share_permille, f"at risk: {reason}", evidence)
 
-    def taken_back(self, move: Move, state: SharedMove) -> None:
+    def taken_back(self, move: Rollout, state: SharedRollout) -> None:
         """Record the take-back that the nodes agreed on; its reason holds the figures."""
         self._recorder.submit(
-            FinishMove(
+            FinishRollout(
                 RECORD_SCHEMA,
                 f"{move.move_id}/taken-back",
                 move.move_id,
@@ -53,9 +53,11 @@
             )
         )
 
-    def done(self, move: Move, rule: str, evidence: str, is_current: t.Callable[[], bool]) -> None:
+    def done(
+        self, move: Rollout, rule: str, evidence: str, is_current: t.Callable[[], bool]
+    ) -> None:
         """Record that the move is done, as long as ``is_current`` says that it still is."""
-        record = FinishMove(
+        record = FinishRollout(
             RECORD_SCHEMA,
             f"{move.move_id}/done",
             move.move_id,
@@ -66,9 +68,11 @@
         )
         self._recorder.submit(record, is_current)
 
-    def _step(self, move: Move, event: str, share_permille: int, rule: str, evidence: str) -> None:
+    def _step(
+        self, move: Rollout, event: str, share_permille: int, rule: str, evidence: str
+    ) -> None:
         self._recorder.submit(
-            RecordStep(
+            RecordRolloutStep(
                 RECORD_SCHEMA,
                 f"{move.move_id}/{event}",
                 move.move_id,
--- a/src/bulrushflow/nodes/push_tree.py
+++ b/src/bulrushflow/nodes/push_tree.py
@@ -3,7 +3,7 @@
 import typing as t
 
 from bulrushflow.membership import Member
-from bulrushflow.membership import rank
+from bulrushflow.membership import rank_members
 
 FANOUT = 4
 
@@ -15,7 +15,7 @@
     Nodes with different views of the members may miss some, who then pull.
     """
     others = [member for member in members if member.node_id != root_id]
-    ranked = rank(others, f"push/{root_id}")
+    ranked = rank_members(others, f"push/{root_id}")
     if own_id == root_id:
         return ranked[:FANOUT]
     position = next((i for i, m in enumerate(ranked) if m.node_id == own_id), None)
@@ -29,7 +29,7 @@
     """Return the member that passes on to ``own_id`` in the tree of ``root_id``."""
     by_id = {member.node_id: member for member in members}
     root = by_id.pop(root_id, None)
-    ranked = rank(by_id.values(), f"push/{root_id}")
+    ranked = rank_members(by_id.values(), f"push/{root_id}")
     position = next((i for i, m in enumerate(ranked) if m.node_id == own_id), None)
     if position is None or root is None:
         return None
--- a/src/bulrushflow/nodes/reporting.py
+++ b/src/bulrushflow/nodes/reporting.py
@@ -5,10 +5,10 @@
 
 from loguru import logger
 
-from bulrushflow.configuration import Move
+from bulrushflow.configuration import Rollout
 from bulrushflow.membership import Member
-from bulrushflow.membership import rank
-from bulrushflow.moves import EvidenceBook
+from bulrushflow.membership import rank_members
+from bulrushflow.rollouts import EvidenceStore
 from bulrushflow.wire import codec
 from bulrushflow.wire import messages
 from bulrushflow.wire.links import Endpoint
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        book: EvidenceBook,
+        book: EvidenceStore,
         own_id: str,
         sender: Sender,
         count_bytes: CountBytes = lambda direction, kind, count: None,
@@ -72,7 +72,7 @@
         self._sent_by_move: dict[int, tuple[int, float]] = {}
         self._sends_by_id: dict[str, asyncio.Task[None]] = {}
 
-    def report(self, move: Move, group: list[Member], now_s: float) -> None:
+    def report(self, move: Rollout, group: list[Member], now_s: float) -> None:
         """Send the evidence on a move if it is due; doesn't wait for any receiver."""
         own = self._book.local(move.offset)
         sequence, sent_at = self._sent_by_move.get(move.offset, (-1, float("-inf")))
@@ -86,7 +86,7 @@
         if now_s - sent_at < period_s:
             return
         self._sent_by_move[move.offset] = (own.sequence, now_s)
-        for member in rank(group, f"move/{move.offset}")[:receivers]:
+        for member in rank_members(group, f"move/{move.offset}")[:receivers]:
             if member.node_id != self._own_id:
                 self._send(member, report, size)
 
--- a/src/bulrushflow/nodes/spreading.py
+++ b/src/bulrushflow/nodes/spreading.py
@@ -19,7 +19,7 @@
 from bulrushflow.exceptions import InvariantError
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
-from bulrushflow.membership import rank
+from bulrushflow.membership import rank_members
 from bulrushflow.metrics import Metrics
 from bulrushflow.nodes.log_reader import LogReader
 from bulrushflow.nodes.pulling import PullAnswer
@@ -180,7 +180,7 @@
         now = self._now()
         count = len(self._table.by_id)
         if now - self._ranked_at >= ROLE_CHECK_S or count != self._ranked_count:
-            near = rank(self._near(), "log-reader")
+            near = rank_members(self._near(), "log-reader")
             self._ranked_ids = [member.node_id for member in near[:READERS_PER_DATA_CENTRE]]
             self._ranked_at = now
             self._ranked_count = count
--- a/src/bulrushflow/operators/accounts.py
+++ b/src/bulrushflow/operators/accounts.py
@@ -7,7 +7,7 @@
 from result import Ok
 from result import Result
 
-from bulrushflow.configuration import MoveStatus
+from bulrushflow.configuration import RolloutStatus
 from bulrushflow.operators.client import OperatorClient
 from bulrushflow.operators.reports import Convergence
 from bulrushflow.operators.reports import MoveAccount
@@ -25,7 +25,7 @@
     while True:
         answer = await client.get(f"/moves/{move_id}", MoveAccount)
         match answer:
-            case Ok(account) if account.move.status is not MoveStatus.ACTIVE:
+            case Ok(account) if account.move.status is not RolloutStatus.ACTIVE:
                 return Ok(account)
             case _:
                 pass
@@ -48,7 +48,7 @@
             f"  {format_time(step.at_ms)} offset {step.offset}: {step.share_permille / 10:g}% "
             f"({step.rule}; {step.evidence}) by {step.node_id}"
         )
-    if move.status is not MoveStatus.ACTIVE:
+    if move.status is not RolloutStatus.ACTIVE:
         lines.append(
             f"  {format_time(move.finished_at_ms)} offset {move.finished_offset}: {move.status} "
             f"({move.reason}; {move.evidence}) by {move.decided_by}"
--- a/src/bulrushflow/operators/endpoint.py
+++ b/src/bulrushflow/operators/endpoint.py
@@ -12,8 +12,8 @@
 
 from bulrushflow import __version__
 from bulrushflow.configuration import ConfigurationStore
-from bulrushflow.configuration import Move
-from bulrushflow.configuration import MoveStatus
+from bulrushflow.configuration import Rollout
+from bulrushflow.configuration import RolloutStatus
 from bulrushflow.configuration import Verdict
 from bulrushflow.configuration import digest
 from bulrushflow.configuration import encode_configuration
@@ -22,7 +22,6 @@
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Status
 from bulrushflow.metrics import Metrics
-from bulrushflow.moves import SharedMoves
 from bulrushflow.nodes import Gossip
 from bulrushflow.operators.reports import Convergence
 from bulrushflow.operators.reports import MemberStatus
@@ -30,6 +29,7 @@
 from bulrushflow.operators.reports import NodeStatus
 from bulrushflow.operators.reports import UnrecordedAccount
 from bulrushflow.recording import Recorder
+from bulrushflow.rollouts import SharedRollouts
 
 PROBES_AT_ONCE = 64
 
@@ -41,7 +41,7 @@
         self,
         store: ConfigurationStore,
         table: MemberTable,
-        shared_moves: SharedMoves,
+        shared_moves: SharedRollouts,
         gossip: Gossip,
         recorder: Recorder,
         metrics: Metrics,
@@ -176,24 +176,24 @@
         self._metrics.ready.set({}, int(self._is_ready()))
         self._metrics.unrecorded.set({}, len(self._recorder.unrecorded()))
 
-    def _account(self, move: Move) -> MoveAccount:
+    def _account(self, move: Rollout) -> MoveAccount:
         shared = self._shared_moves.by_offset.get(move.offset)
         prefix = f"{move.move_id}/"
         unrecorded = [r.publish_id for r in self._recorder.unrecorded()]
         return MoveAccount(
             move,
             _share(move, self._shared_moves),
-            shared.rolled_back if shared else move.status is MoveStatus.ROLLED_BACK,
+            shared.rolled_back if shared else move.status is RolloutStatus.ROLLED_BACK,
             shared.reason if shared else "",
             shared.decided_by if shared else move.decided_by,
             [u for u in unrecorded if u.startswith(prefix)],
         )
 
 
-def _share(move: Move, shared_moves: SharedMoves) -> int:
-    if move.status is MoveStatus.ACTIVE:
+def _share(move: Rollout, shared_moves: SharedRollouts) -> int:
+    if move.status is RolloutStatus.ACTIVE:
         return shared_moves.share_permille(move.offset)
-    return 1000 if move.status is MoveStatus.COMPLETED else 0
+    return 1000 if move.status is RolloutStatus.COMPLETED else 0
 
 
 def _member_status(member: Member) -> MemberStatus:
--- a/src/bulrushflow/operators/history.py
+++ b/src/bulrushflow/operators/history.py
@@ -13,13 +13,13 @@
 from bulrushflow.configuration import Configure
 from bulrushflow.configuration import ConfigureV2
 from bulrushflow.configuration import EnableSchema
-from bulrushflow.configuration import FinishMove
+from bulrushflow.configuration import FinishRollout
 from bulrushflow.configuration import LogRecord
 from bulrushflow.configuration import Record
-from bulrushflow.configuration import RecordStep
-from bulrushflow.configuration import StartMove
+from bulrushflow.configuration import RecordRolloutStep
+from bulrushflow.configuration import StartRollout
 from bulrushflow.configuration import Verdict
-from bulrushflow.configuration import WithdrawMove
+from bulrushflow.configuration import WithdrawRollout
 from bulrushflow.configuration import decode_header
 from bulrushflow.configuration import decode_record
 from bulrushflow.configuration import fold_records
@@ -136,9 +136,9 @@
         return "accepted" if verdict.accepted else f"rejected: {verdict.reason}"
 
     def _note_effect(self, offset: int, record: Record) -> None:
-        if isinstance(record, StartMove):
+        if isinstance(record, StartRollout):
             self._service_by_move[record.publish_id] = record.service
-        if isinstance(record, FinishMove | WithdrawMove):
+        if isinstance(record, FinishRollout | WithdrawRollout):
             outcome = summarize(record).removeprefix(f"move {record.move_id} ")
             self._outcome_by_move[record.move_id] = f"{outcome}, at offset {offset}"
         keys = _keys(record, self._service_by_move)
@@ -169,17 +169,17 @@
     """Return what a record says, in one line."""
     if isinstance(record, EnableSchema):
         return f"enable schema level {record.level}"
-    if isinstance(record, StartMove):
+    if isinstance(record, StartRollout):
         return (
             f"move {record.publish_id} of {record.service} to {record.to_version} "
             f"by {format_time(record.finish_by_ms)}"
         )
-    if isinstance(record, WithdrawMove):
+    if isinstance(record, WithdrawRollout):
         return f"move {record.move_id} withdrawn: {record.reason or 'no reason given'}"
-    if isinstance(record, RecordStep):
+    if isinstance(record, RecordRolloutStep):
         share = f"{record.share_permille / 10:g}%"
         return f"move {record.move_id} step to {share}: {record.rule}"
-    if isinstance(record, FinishMove):
+    if isinstance(record, FinishRollout):
         outcome = "taken back" if record.taken_back else "done"
         return f"move {record.move_id} {outcome}: {record.reason}"
     if isinstance(record, Configure | ConfigureV2):
@@ -212,7 +212,7 @@
     if isinstance(record, Configure | ConfigureV2):
         services = {f"service {name}" for name in record.services}
         return services | {f"route {path}" for path in record.routes}
-    if isinstance(record, FinishMove) and not record.taken_back:
+    if isinstance(record, FinishRollout) and not record.taken_back:
         service = services_by_move.get(record.move_id)
         return {f"service {service}"} if service else set()
     return set()
--- a/src/bulrushflow/operators/publishing.py
+++ b/src/bulrushflow/operators/publishing.py
@@ -16,8 +16,8 @@
 from bulrushflow.configuration import ConfigureV2
 from bulrushflow.configuration import EnableSchema
 from bulrushflow.configuration import Record
-from bulrushflow.configuration import StartMove
-from bulrushflow.configuration import WithdrawMove
+from bulrushflow.configuration import StartRollout
+from bulrushflow.configuration import WithdrawRollout
 from bulrushflow.operators import accounts
 from bulrushflow.operators.client import OperatorClient
 from bulrushflow.operators.client import new_publish_id
@@ -92,7 +92,7 @@
 
     def __call__(self) -> None:
         finish_by_ms = usage(parse_deadline(self.by, time.time_ns() // 1_000_000))
-        record = StartMove(
+        record = StartRollout(
             RECORD_SCHEMA,
             self.record_id(),
             operator_name(self.operator),
@@ -103,7 +103,7 @@
         )
         asyncio.run(self._run(record))
 
-    async def _run(self, record: StartMove) -> None:
+    async def _run(self, record: StartRollout) -> None:
         remaining_s = max(0.0, record.finish_by_ms / 1000 - time.time())
         timeout_s = self.timeout_s + (remaining_s if self.wait else 0)
         async with OperatorClient(self.log_url, self.node_url, timeout_s) as client:
@@ -122,7 +122,7 @@
     reason: t.Annotated[str, cappa.Arg(long=True, help="reason for the account")] = ""
 
     def __call__(self) -> None:
-        record = WithdrawMove(
+        record = WithdrawRollout(
             RECORD_SCHEMA,
             self.record_id(),
             operator_name(self.operator),
--- a/src/bulrushflow/operators/reading.py
+++ b/src/bulrushflow/operators/reading.py
@@ -7,7 +7,7 @@
 from result import Ok
 from result import Result
 
-from bulrushflow.configuration import EMPTY
+from bulrushflow.configuration import EMPTY_CONFIGURATION
 from bulrushflow.configuration import Configuration
 from bulrushflow.configuration import LogRecord
 from bulrushflow.configuration import Snapshot
@@ -36,7 +36,7 @@
         case Ok((first_offset, records)):
             pass
     if first_offset == 0:
-        return Ok(ReadRecords(0, records, EMPTY, []))
+        return Ok(ReadRecords(0, records, EMPTY_CONFIGURATION, []))
     note = f"the log keeps no records before offset {first_offset}"
     start = _oldest_snapshot(first_offset, records)
     if start is None:
@@ -90,7 +90,7 @@
     note = f"{reason}; read from a node instead"
     match await _read_held(client):
         case Ok(records):
-            return Ok(ReadRecords(0, records, EMPTY, [note]))
+            return Ok(ReadRecords(0, records, EMPTY_CONFIGURATION, [note]))
         case Err(_):
             pass
     configuration = await client.configuration()
--- a/src/bulrushflow/operators/reports.py
+++ b/src/bulrushflow/operators/reports.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from bulrushflow.configuration import Move
+from bulrushflow.configuration import Rollout
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
@@ -47,7 +47,7 @@
 class MoveAccount(msgspec.Struct, frozen=True):
     """A move as the log has it, and what one node knows beyond that."""
 
-    move: Move
+    move: Rollout
     share_permille: int
     taken_back: bool
     taken_back_reason: str
--- a/src/bulrushflow/platform/__init__.py
+++ b/src/bulrushflow/platform/__init__.py
@@ -3,7 +3,7 @@
 Names of the platform are decoded here, once, into the product's own types.
 """
 
-from bulrushflow.platform.settings import load_machine_settings
+from bulrushflow.platform.settings import load_settings
 from bulrushflow.platform.store import PlatformStore
 
-__all__ = ["PlatformStore", "load_machine_settings"]
+__all__ = ["PlatformStore", "load_settings"]
--- a/src/bulrushflow/platform/adapter.py
+++ b/src/bulrushflow/platform/adapter.py
@@ -8,33 +8,33 @@
 
 from bulrushflow.platform import documents
 from bulrushflow.platform.headers import HEADER_NAMES
-from bulrushflow.platform.settings import endpoint
+from bulrushflow.platform.settings import parse_endpoint
 from bulrushflow.sidecar.adapter import OrderSink
 from bulrushflow.sidecar.adapter import Topics
 from bulrushflow.sidecar.endpoints import AnnouncementPaths
-from bulrushflow.sidecar.model import MoveStatus
+from bulrushflow.sidecar.model import RolloutStatus
 from bulrushflow.sidecar.model import TargetEntry
 from bulrushflow.sidecar.settings import Endpoint
 from bulrushflow.sidecar.storage import KeyedRecord
 from bulrushflow.sidecar.storage import StoreWrite
 
 
-class OrderFollower:
+class OperatorRecordHandler:
     """Decodes the operator's records; one that can't be read leaves what is in force."""
 
     def __init__(self, orders: OrderSink) -> None:
         self._orders = orders
 
     def replace(self, records: t.Sequence[KeyedRecord]) -> None:
-        """See :meth:`Follower.replace`."""
+        """See :meth:`RecordHandler.replace`."""
         for record in records:
             self.apply(record)
 
     def apply(self, record: KeyedRecord) -> None:
-        """See :meth:`Follower.apply`."""
+        """See :meth:`RecordHandler.apply`."""
         if record.key == documents.CONFIGURATION_KEY:
             self._configure(record)
-        elif record.key.startswith(documents.MOVE_KEY_PREFIX):
+        elif record.key.startswith(documents.ROLLOUT_KEY_PREFIX):
             self._order(record)
 
     def _configure(self, record: KeyedRecord) -> None:
@@ -46,9 +46,9 @@
 
     def _order(self, record: KeyedRecord) -> None:
         if not record.value:
-            self._orders.withdraw_rollout(record.key.removeprefix(documents.MOVE_KEY_PREFIX))
+            self._orders.withdraw_rollout(record.key.removeprefix(documents.ROLLOUT_KEY_PREFIX))
             return
-        match documents.decode_order(record.key, record.value, record.offset):
+        match documents.decode_rollout_order(record.key, record.value, record.offset):
             case Ok(order):
                 self._orders.order_rollout(order)
             case Err(reason):
@@ -72,22 +72,22 @@
             case Ok((entry, address)):
                 pass
         try:
-            return Ok((entry, endpoint(address)))
+            return Ok((entry, parse_endpoint(address)))
         except ValueError as exc:
             return Err(f"announcement: {exc}")
 
-    def encode_status(self, status: MoveStatus) -> StoreWrite:
+    def encode_status(self, status: RolloutStatus) -> StoreWrite:
         """See :meth:`Adapter.encode_status`."""
         return StoreWrite(
-            documents.MOVE_KEY_PREFIX + status.service, documents.encode_status(status)
+            documents.ROLLOUT_KEY_PREFIX + status.service, documents.encode_status(status)
         )
 
-    def decode_status(self, record: KeyedRecord) -> Result[MoveStatus, str]:
+    def decode_status(self, record: KeyedRecord) -> Result[RolloutStatus, str]:
         """See :meth:`Adapter.decode_status`."""
-        if not record.key.startswith(documents.MOVE_KEY_PREFIX):
+        if not record.key.startswith(documents.ROLLOUT_KEY_PREFIX):
             return Err("its key is no move's")
         return documents.decode_status(record.value)
 
-    def operator_record_handler(self, orders: OrderSink) -> OrderFollower:
-        """See :meth:`Adapter.order_follower`."""
-        return OrderFollower(orders)
+    def operator_record_handler(self, orders: OrderSink) -> OperatorRecordHandler:
+        """See :meth:`Adapter.operator_record_handler`."""
+        return OperatorRecordHandler(orders)
--- a/src/bulrushflow/platform/command.py
+++ b/src/bulrushflow/platform/command.py
@@ -11,7 +11,7 @@
 
 from bulrushflow.logs import configure_bounded_logs
 from bulrushflow.platform.adapter import PlatformAdapter
-from bulrushflow.platform.settings import load_machine_settings
+from bulrushflow.platform.settings import load_settings
 from bulrushflow.platform.settings import settings_path
 from bulrushflow.platform.store import PlatformStore
 from bulrushflow.sidecar.application import Sidecar
@@ -27,7 +27,7 @@
 
 def main() -> None:
     """Run a sidecar until it is told to stop."""
-    match load_machine_settings(settings_path()):
+    match load_settings(settings_path()):
         case Err(fault):
             print(fault, file=sys.stderr)
             sys.exit(EXIT_SETTINGS)
@@ -76,7 +76,7 @@
 
 
 def _reload(sidecar: Sidecar) -> None:
-    match load_machine_settings(settings_path()):
+    match load_settings(settings_path()):
         case Err(fault):
             logger.bind(reason=fault).warning("settings not reloaded")
         case Ok(settings):
--- a/src/bulrushflow/platform/documents.py
+++ b/src/bulrushflow/platform/documents.py
@@ -8,11 +8,11 @@
 from result import Ok
 from result import Result
 
-from bulrushflow.platform.settings import seconds
+from bulrushflow.platform.settings import parse_duration
 from bulrushflow.sidecar.model import Limits
-from bulrushflow.sidecar.model import MoveOrder
-from bulrushflow.sidecar.model import MovePhase
-from bulrushflow.sidecar.model import MoveStatus
+from bulrushflow.sidecar.model import RolloutOrder
+from bulrushflow.sidecar.model import RolloutPhase
+from bulrushflow.sidecar.model import RolloutStatus
 from bulrushflow.sidecar.model import Route
 from bulrushflow.sidecar.model import Routing
 from bulrushflow.sidecar.model import ServiceSettings
@@ -21,14 +21,14 @@
 from bulrushflow.sidecar.model import WeightedService
 
 CONFIGURATION_KEY = "config"
-MOVE_KEY_PREFIX = "rollout/"
+ROLLOUT_KEY_PREFIX = "rollout/"
 """Of the orders' keys, and of the statuses' in their own topic."""
 KINDS = {"safe": True, "unsafe": False, "keyed": False}
 """Whether calls of a kind of route may run more than once."""
 PHASES = {
-    MovePhase.RUNNING: "running",
-    MovePhase.COMPLETED: "completed",
-    MovePhase.ROLLED_BACK: "rolled_back",
+    RolloutPhase.RUNNING: "running",
+    RolloutPhase.COMPLETED: "completed",
+    RolloutPhase.ROLLED_BACK: "rolled_back",
 }
 STATES = {"ready": TargetState.READY, "draining": TargetState.DRAINING}
 
@@ -90,7 +90,7 @@
 
 
 class _Status(msgspec.Struct):
-    move: MoveStatus
+    move: RolloutStatus
 
 
 class _Announcement(msgspec.Struct):
@@ -114,19 +114,19 @@
         return Err(f"configuration: {exc}")
 
 
-def decode_order(key: str, data: bytes, offset: int) -> Result[MoveOrder, str]:
+def decode_rollout_order(key: str, data: bytes, offset: int) -> Result[RolloutOrder, str]:
     """Decode the operator's order to move a service to a version."""
     try:
         document = msgspec.json.decode(data, type=_Rollout)
-        duration_s = seconds(document.duration)
+        duration_s = parse_duration(document.duration)
     except (msgspec.MsgspecError, ValueError) as exc:
         return Err(f"{key}: {exc}")
-    if key != MOVE_KEY_PREFIX + document.service:
+    if key != ROLLOUT_KEY_PREFIX + document.service:
         return Err(f"{key}: names service {document.service}")
-    return Ok(MoveOrder(document.service, document.targetVersion, duration_s, offset))
+    return Ok(RolloutOrder(document.service, document.targetVersion, duration_s, offset))
 
 
-def encode_status(status: MoveStatus) -> bytes:
+def encode_status(status: RolloutStatus) -> bytes:
     """Encode a move's status: the fields that operators read, and the product's own beside them."""
     return msgspec.json.encode(
         {
@@ -138,7 +138,7 @@
     )
 
 
-def decode_status(data: bytes) -> Result[MoveStatus, str]:
+def decode_status(data: bytes) -> Result[RolloutStatus, str]:
     """Decode the product's own fields of a move's status."""
     try:
         return Ok(msgspec.json.decode(data, type=_Status).move)
@@ -150,7 +150,7 @@
     """Decode what a target says of itself, with its address."""
     try:
         said = msgspec.json.decode(data, type=_Announcement)
-        cold_s = seconds(said.coldRemaining)
+        cold_s = parse_duration(said.coldRemaining)
     except (msgspec.MsgspecError, ValueError) as exc:
         return Err(f"announcement: {exc}")
     state = STATES.get(said.state)
@@ -194,8 +194,8 @@
             Limits(
                 limits.maxHeaderBytes,
                 limits.maxBodyBytes,
-                seconds(limits.headerTimeout),
-                seconds(limits.idleTimeout),
+                parse_duration(limits.headerTimeout),
+                parse_duration(limits.idleTimeout),
             ),
         )
     )
@@ -222,8 +222,8 @@
             prefix=prefix,
             services=tuple(parts),
             idempotent=KINDS[rule.kind],
-            timeout_s=seconds(action.timeout),
-            latency_objective_s=seconds(rule.targetLatency),
+            timeout_s=parse_duration(action.timeout),
+            latency_objective_s=parse_duration(rule.targetLatency),
             max_attempts=action.maxAttempts,
             priority=rule.priority,
         )
--- a/src/bulrushflow/platform/settings.py
+++ b/src/bulrushflow/platform/settings.py
@@ -20,7 +20,7 @@
 _TIME = re.compile(r"^\s*([0-9]+(?:\.[0-9]+)?)\s*(ms|s)\s*$")
 
 
-def seconds(text: t.Any) -> float:
+def parse_duration(text: t.Any) -> float:
     """Decode a time such as ``1500ms`` or ``2.5s`` to seconds.
 
     :raises ValueError: when it is something else.
@@ -68,7 +68,7 @@
     return pathlib.Path(os.environ.get(SETTINGS_VARIABLE, DEFAULT_PATH))
 
 
-def load_machine_settings(path: pathlib.Path) -> Result[SidecarSettings, str]:
+def load_settings(path: pathlib.Path) -> Result[SidecarSettings, str]:
     """Read and check a settings file; unknown fields are ignored."""
     try:
         return decode_settings(path.read_bytes())
@@ -94,15 +94,15 @@
         data_centre=file.zone,
         peer_port=file.internalPortRange[0],
         metrics_port=file.internalPortRange[1],
-        callers=endpoint(file.listen.outbound),
-        readiness=endpoint(file.listen.ready),
-        announcements=endpoint(file.listen.control),
-        target=endpoint(file.appAddr) if file.appAddr else None,
+        callers=parse_endpoint(file.listen.outbound),
+        readiness=parse_endpoint(file.listen.ready),
+        announcements=parse_endpoint(file.listen.control),
+        target=parse_endpoint(file.appAddr) if file.appAddr else None,
         own_service=file.service,
-        store=endpoint(file.platform.address),
+        store=parse_endpoint(file.platform.address),
         bounds=Bounds(
-            grace_s=seconds(bounds.grace),
-            retry_window_s=seconds(bounds.budgetWindow),
+            grace_s=parse_duration(bounds.grace),
+            retry_window_s=parse_duration(bounds.budgetWindow),
             retry_ratio=bounds.retryBudgetRatio,
             retry_slack=bounds.retryBudgetSlack,
             unproved_share=bounds.canaryShare,
@@ -111,7 +111,7 @@
     )
 
 
-def endpoint(text: str) -> Endpoint:
+def parse_endpoint(text: str) -> Endpoint:
     """Decode an address such as ``10.1.0.5:8309``.
 
     :raises ValueError: when it is something else.
--- /dev/null
+++ b/src/bulrushflow/rollouts/__init__.py
@@ -0,0 +1,43 @@
+"""Moves between target versions: shared state, evidence, verdict and pace, free of I/O."""
+
+from bulrushflow.rollouts.analysis import AnalysisOutcome
+from bulrushflow.rollouts.analysis import AnalysisResult
+from bulrushflow.rollouts.analysis import CanaryAnalysis
+from bulrushflow.rollouts.controller import RolloutController
+from bulrushflow.rollouts.controller import RolloutTimes
+from bulrushflow.rollouts.evidence import Evidence
+from bulrushflow.rollouts.evidence import EvidenceStore
+from bulrushflow.rollouts.evidence import RouteCounts
+from bulrushflow.rollouts.evidence import VersionRoute
+from bulrushflow.rollouts.evidence import empty_buckets
+from bulrushflow.rollouts.exposure import ExposureBudget
+from bulrushflow.rollouts.exposure import ExposureLimits
+from bulrushflow.rollouts.schedule import RolloutSchedule
+from bulrushflow.rollouts.shared import SharedRollout
+from bulrushflow.rollouts.shared import SharedRollouts
+from bulrushflow.rollouts.steps import StepDecision
+from bulrushflow.rollouts.steps import decide_step
+from bulrushflow.rollouts.versions import VersionFilter
+from bulrushflow.rollouts.warmup import WarmUp
+
+__all__ = [
+    "AnalysisOutcome",
+    "AnalysisResult",
+    "CanaryAnalysis",
+    "Evidence",
+    "EvidenceStore",
+    "ExposureBudget",
+    "ExposureLimits",
+    "RolloutController",
+    "RolloutSchedule",
+    "RolloutTimes",
+    "RouteCounts",
+    "SharedRollout",
+    "SharedRollouts",
+    "StepDecision",
+    "VersionFilter",
+    "VersionRoute",
+    "WarmUp",
+    "decide_step",
+    "empty_buckets",
+]
--- a/src/bulrushflow/moves/verdict.py
+++ b/src/bulrushflow/rollouts/analysis.py
@@ -3,10 +3,10 @@
 import enum
 from dataclasses import dataclass
 
-from bulrushflow.moves.comparison import RouteComparison
-from bulrushflow.moves.comparison import Sign
-from bulrushflow.moves.evidence import RouteCounts
-from bulrushflow.moves.evidence import VersionRoute
+from bulrushflow.rollouts.comparison import RouteComparison
+from bulrushflow.rollouts.comparison import Sign
+from bulrushflow.rollouts.evidence import RouteCounts
+from bulrushflow.rollouts.evidence import VersionRoute
 
 SUSPECT_STRENGTH = 0.65
 """Strength of a sign of a fault from which the share isn't raised and the move isn't done."""
@@ -22,7 +22,7 @@
 NO_SIGN = Sign(0.0, "", "")
 
 
-class Judgement(enum.Enum):
+class AnalysisOutcome(enum.Enum):
     """What the evidence says of the new version."""
 
     HEALTHY = "healthy"
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class AnalysisResult:
     """A judgement, the rule that gave it and the figures behind it.
 
     ``stage_calls`` are the calls to the new version since the present share began, ``strength`` is
@@ -40,7 +40,7 @@
     share began.
     """
 
-    outcome: Judgement
+    outcome: AnalysisOutcome
     rule: str
     evidence: str
     stage_calls: int = 0
@@ -48,7 +48,7 @@
     stage_strength: float = 0.0
 
 
-class Judge:
+class CanaryAnalysis:
     """Compares the new version with the old on each route, over the same windows of time."""
 
     __slots__ = (
@@ -76,7 +76,7 @@
 
     def update(
         self, totals: dict[VersionRoute, RouteCounts], share_permille: int, now_s: float
-    ) -> Verdict:
+    ) -> AnalysisResult:
         """Take in the newest totals and return the verdict.
 
         :param now_s: this node's monotonic clock.
@@ -110,26 +110,28 @@
 
     def _verdict(
         self, old_by_route: dict[str, RouteCounts], new_by_route: dict[str, RouteCounts]
-    ) -> Verdict:
+    ) -> AnalysisResult:
         stage_calls = sum(self._calls_in_stage(route, new_by_route) for route in self._by_route)
         signs = [(comparison.worst(), route) for route, comparison in self._by_route.items()]
         sign, worst_route = max(signs, key=lambda s: s[0].strength, default=(NO_SIGN, ""))
         strength = self._strength = sign.strength
         test = f"test strength {strength:.2f} of 1"
         if strength >= SUSPECT_STRENGTH:
-            judgement = Judgement.FAULTY if strength >= 1 else Judgement.SUSPECT
+            judgement = AnalysisOutcome.FAULTY if strength >= 1 else AnalysisOutcome.SUSPECT
             rule, evidence = sign.rule, f"route {worst_route}: {sign.figures}, {test}"
         elif strength >= UNCLEAR_STRENGTH:
-            judgement = Judgement.INSUFFICIENT
+            judgement = AnalysisOutcome.INSUFFICIENT
             rule, evidence = "unclear evidence", f"route {worst_route}: {test}"
         elif lacking := self._lacking(old_by_route, new_by_route, stage_calls):
-            judgement = Judgement.INSUFFICIENT
+            judgement = AnalysisOutcome.INSUFFICIENT
             rule, evidence = "too few calls", lacking
         else:
-            judgement = Judgement.HEALTHY
+            judgement = AnalysisOutcome.HEALTHY
             rule = "no route worse than the old version"
             evidence = f"{stage_calls} calls at this share, highest {test}"
-        return Verdict(judgement, rule, evidence, stage_calls, strength, self._stage_strength)
+        return AnalysisResult(
+            judgement, rule, evidence, stage_calls, strength, self._stage_strength
+        )
 
     def _calls_in_stage(self, route: str, new_by_route: dict[str, RouteCounts]) -> int:
         new = new_by_route.get(route)
--- a/src/bulrushflow/moves/comparison.py
+++ b/src/bulrushflow/rollouts/comparison.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-from bulrushflow.moves.evidence import RouteCounts
-from bulrushflow.moves.evidence import empty_buckets
-from bulrushflow.moves.sequential import ChangeDetector
-from bulrushflow.moves.sequential import Sample
+from bulrushflow.rollouts.evidence import RouteCounts
+from bulrushflow.rollouts.evidence import empty_buckets
+from bulrushflow.rollouts.sequential import ChangeDetector
+from bulrushflow.rollouts.sequential import Sample
 
 BLOCK_S = 0.5
 """Shortest block; a block also waits for calls to both versions."""
--- a/src/bulrushflow/moves/controller.py
+++ b/src/bulrushflow/rollouts/controller.py
@@ -2,20 +2,20 @@
 
 from dataclasses import dataclass
 
-from bulrushflow.moves.evidence import RouteCounts
-from bulrushflow.moves.evidence import VersionRoute
-from bulrushflow.moves.exposure import Exposure
-from bulrushflow.moves.exposure import ExposureLimits
-from bulrushflow.moves.pace import Pace
-from bulrushflow.moves.pace import next_pace
-from bulrushflow.moves.plan import Plan
-from bulrushflow.moves.verdict import Judge
-from bulrushflow.moves.verdict import Judgement
-from bulrushflow.moves.verdict import Verdict
+from bulrushflow.rollouts.analysis import AnalysisOutcome
+from bulrushflow.rollouts.analysis import AnalysisResult
+from bulrushflow.rollouts.analysis import CanaryAnalysis
+from bulrushflow.rollouts.evidence import RouteCounts
+from bulrushflow.rollouts.evidence import VersionRoute
+from bulrushflow.rollouts.exposure import ExposureBudget
+from bulrushflow.rollouts.exposure import ExposureLimits
+from bulrushflow.rollouts.schedule import RolloutSchedule
+from bulrushflow.rollouts.steps import StepDecision
+from bulrushflow.rollouts.steps import decide_step
 
 
 @dataclass(frozen=True, slots=True)
-class MoveTimes:
+class RolloutTimes:
     """When a move was stated and is to finish, in epoch milliseconds."""
 
     stated_at_ms: int
@@ -27,7 +27,7 @@
         return (self.finish_by_ms - self.stated_at_ms) / 1000
 
 
-class MoveController:
+class RolloutController:
     """Judges the new version on every tick, and paces the move where this node drives it.
 
     :param limits: bound the calls of a version that isn't proved; ``None`` bounds nothing.
@@ -47,21 +47,23 @@
         self,
         from_version: str,
         to_version: str,
-        times: MoveTimes,
+        times: RolloutTimes,
         now_s: float,
         limits: ExposureLimits | None = None,
     ) -> None:
         self._to_version = to_version
         self._limits = limits
         self._new_calls = 0
-        self._judge = Judge(from_version, to_version, now_s)
+        self._judge = CanaryAnalysis(from_version, to_version, now_s)
         self._times = times
         self._calls_per_s = 0.0
-        self.latest_result = Verdict(Judgement.INSUFFICIENT, "too few calls", "0 calls")
+        self.latest_result = AnalysisResult(
+            AnalysisOutcome.INSUFFICIENT, "too few calls", "0 calls"
+        )
 
     def update_analysis(
         self, totals: dict[VersionRoute, RouteCounts], share_permille: int, now_s: float
-    ) -> Verdict:
+    ) -> AnalysisResult:
         """Judge the newest totals.
 
         :param now_s: this node's monotonic clock.
@@ -73,18 +75,18 @@
         )
         return self.latest_result
 
-    def next_step(self, share_permille: int, now_ms: int, now_s: float) -> Pace:
+    def next_step(self, share_permille: int, now_ms: int, now_s: float) -> StepDecision:
         """Return the next step, for the node that drives the move.
 
         :param now_ms: epoch milliseconds, to compare with the deadline.
         """
-        plan = Plan(self._times.span_s, self._calls_per_s, self._exposure())
+        plan = RolloutSchedule(self._times.span_s, self._calls_per_s, self._exposure())
         elapsed_s = (now_ms - self._times.stated_at_ms) / 1000
         stage_s = now_s - self._judge.stage_started_s
-        return next_pace(plan, share_permille, self.latest_result, elapsed_s, stage_s)
+        return decide_step(plan, share_permille, self.latest_result, elapsed_s, stage_s)
 
-    def _exposure(self) -> Exposure:
+    def _exposure(self) -> ExposureBudget:
         if self._limits is None:
-            return Exposure()
+            return ExposureBudget()
         limit = self._limits.max_calls(self._calls_per_s, self._times.span_s)
-        return Exposure(limit, self._new_calls)
+        return ExposureBudget(limit, self._new_calls)
--- a/src/bulrushflow/moves/evidence.py
+++ b/src/bulrushflow/rollouts/evidence.py
@@ -86,7 +86,7 @@
         self.sequence += 1
 
 
-class EvidenceBook:
+class EvidenceStore:
     """The newest evidence of each node's process on each move, and when it came.
 
     What a node counted before it left or restarted stays in the totals.
--- a/src/bulrushflow/moves/exposure.py
+++ b/src/bulrushflow/rollouts/exposure.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exposure:
+class ExposureBudget:
     """The new version's calls so far, and how many it may get as long as it isn't proved."""
 
     limit: float = math.inf
--- a/src/bulrushflow/moves/plan.py
+++ b/src/bulrushflow/rollouts/schedule.py
@@ -7,7 +7,7 @@
 import typing as t
 from dataclasses import dataclass
 
-from bulrushflow.moves.exposure import Exposure
+from bulrushflow.rollouts.exposure import ExposureBudget
 
 STAGES_PERMILLE: t.Final = (10, 50, 100, 250, 500)
 """Shares before the last one."""
@@ -34,16 +34,16 @@
 SLACK_S = 0.5
 """Time by which a step may come late because decisions are taken periodically."""
 
-UNBOUNDED: t.Final = Exposure()
+UNBOUNDED: t.Final = ExposureBudget()
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class RolloutSchedule:
     """A move's times in seconds since it was stated, the service's calls, and their exposure."""
 
     finish_by_s: float
     calls_per_s: float
-    exposure: Exposure = UNBOUNDED
+    exposure: ExposureBudget = UNBOUNDED
 
     @property
     def margin_s(self) -> float:
--- a/src/bulrushflow/moves/shared.py
+++ b/src/bulrushflow/rollouts/shared.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SharedMove:
+class SharedRollout:
     """How far a move has gone. The share only grows, and a take-back is final."""
 
     offset: int
@@ -13,12 +13,12 @@
     reason: str = ""
     decided_by: str = ""
 
-    def join(self, other: "SharedMove") -> "SharedMove":
+    def join(self, other: "SharedRollout") -> "SharedRollout":
         """Return the least state that includes both."""
         rolled_back = self.rolled_back or other.rolled_back
         verdicts = [m for m in (self, other) if m.rolled_back]
         first = min(verdicts, key=lambda m: (m.reason, m.decided_by)) if verdicts else self
-        return SharedMove(
+        return SharedRollout(
             self.offset,
             max(self.share_permille, other.share_permille),
             rolled_back,
@@ -27,17 +27,17 @@
         )
 
 
-class SharedMoves:
+class SharedRollouts:
     """This node's view of the shared state of all active moves."""
 
     __slots__ = ("_active", "_version", "by_offset")
 
     def __init__(self) -> None:
-        self.by_offset: dict[int, SharedMove] = {}
+        self.by_offset: dict[int, SharedRollout] = {}
         self._active: frozenset[int] = frozenset()
         self._version = -1
 
-    def merge(self, state: SharedMove) -> bool:
+    def merge(self, state: SharedRollout) -> bool:
         """Join a state into the view; return whether that changed it.
 
         A move that is final in the configuration held is passed over, or peers that lag would
--- a/src/bulrushflow/moves/versions.py
+++ b/src/bulrushflow/rollouts/versions.py
@@ -3,14 +3,14 @@
 import typing as t
 
 from bulrushflow.configuration import Configuration
-from bulrushflow.configuration import Move
-from bulrushflow.configuration import MoveStatus
+from bulrushflow.configuration import Rollout
+from bulrushflow.configuration import RolloutStatus
 
 GRACE_S = 10.0
 """Time for which a replaced version still takes calls of nodes that lag."""
 
 
-class VersionGate:
+class VersionFilter:
     """Follows the configuration and tells the versions that may get no new calls."""
 
     __slots__ = (
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         # Asked for each call, so worked out once for each configuration.
-        self.active_rollout_by_service: dict[str, Move] = {}
+        self.active_rollout_by_service: dict[str, Rollout] = {}
         self._given_up_by_service: dict[str, str] = {}
         self._stable_by_service: dict[str, str] = {}
         self._replaced_at: dict[tuple[str, str], float] = {}
@@ -75,15 +75,15 @@
 
 def _given_up_by_service(configuration: Configuration) -> dict[str, str]:
     """Return the versions whose move, the newest of their service, ended without them."""
-    newest_by_service: dict[str, Move] = {}
+    newest_by_service: dict[str, Rollout] = {}
     for move in configuration.moves_by_id.values():
         newest = newest_by_service.get(move.service)
-        if move.status is MoveStatus.ACTIVE:
+        if move.status is RolloutStatus.ACTIVE:
             continue
         if newest is None or newest.finished_offset < move.finished_offset:
             newest_by_service[move.service] = move
     return {
         service: move.to_version
         for service, move in newest_by_service.items()
-        if move.status is not MoveStatus.COMPLETED
+        if move.status is not RolloutStatus.COMPLETED
     }
--- a/src/bulrushflow/routing/__init__.py
+++ b/src/bulrushflow/routing/__init__.py
@@ -2,11 +2,11 @@
 
 from bulrushflow.routing.limits import ByteBudget
 from bulrushflow.routing.limits import ConcurrencyLimit
-from bulrushflow.routing.model import Answer
 from bulrushflow.routing.model import Call
 from bulrushflow.routing.model import CallFailure
 from bulrushflow.routing.model import CallResult
 from bulrushflow.routing.model import Outcome
+from bulrushflow.routing.model import Response
 from bulrushflow.routing.model import answer_lost
 from bulrushflow.routing.model import not_run
 from bulrushflow.routing.model import outcome_label
@@ -16,7 +16,7 @@
 from bulrushflow.routing.retries import MAX_ATTEMPTS
 from bulrushflow.routing.retries import RetryBudget
 from bulrushflow.routing.retries import may_retry
-from bulrushflow.routing.retries import retry_wait_s
+from bulrushflow.routing.retries import retry_backoff_s
 from bulrushflow.routing.routes import FULL_SHARE_PERMILLE
 from bulrushflow.routing.routes import choose_versions
 from bulrushflow.routing.routes import match_route
@@ -24,7 +24,6 @@
 __all__ = [
     "FULL_SHARE_PERMILLE",
     "MAX_ATTEMPTS",
-    "Answer",
     "ByteBudget",
     "Call",
     "CallFailure",
@@ -32,6 +31,7 @@
     "ConcurrencyLimit",
     "FairQueue",
     "Outcome",
+    "Response",
     "RetryBudget",
     "answer_lost",
     "choose_versions",
@@ -40,6 +40,6 @@
     "not_run",
     "outcome_label",
     "refused",
-    "retry_wait_s",
+    "retry_backoff_s",
     "unknown",
 ]
--- a/src/bulrushflow/routing/model.py
+++ b/src/bulrushflow/routing/model.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """A target's whole answer."""
 
     status: int
@@ -104,7 +104,7 @@
         return Err(self)
 
 
-CallResult = Result[Answer, CallFailure]
+CallResult = Result[Response, CallFailure]
 
 
 def not_run(reason: str, reached_target: bool = False) -> CallResult:
--- a/src/bulrushflow/routing/queues.py
+++ b/src/bulrushflow/routing/queues.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting(t.Generic[T]):
+class QueuedItem(t.Generic[T]):
     """A queued item."""
 
     item: T
@@ -32,7 +32,7 @@
     def __init__(self, max_length: int) -> None:
         self._max_length = max_length
         self._length = 0
-        self._by_tenant: collections.OrderedDict[str, collections.deque[Waiting[T]]] = (
+        self._by_tenant: collections.OrderedDict[str, collections.deque[QueuedItem[T]]] = (
             collections.OrderedDict()
         )
 
@@ -62,7 +62,7 @@
             evicted = longest.pop().item
             self._length -= 1
         queue = self._by_tenant.setdefault(key, collections.deque())
-        queue.append(Waiting(item, tenant, deadline))
+        queue.append(QueuedItem(item, tenant, deadline))
         self._length += 1
         return evicted
 
@@ -109,5 +109,5 @@
             return tenant
         return SHARED_TENANT
 
-    def _longest(self) -> collections.deque[Waiting[T]] | None:
+    def _longest(self) -> collections.deque[QueuedItem[T]] | None:
         return max(self._by_tenant.values(), key=len, default=None)
--- a/src/bulrushflow/routing/retries.py
+++ b/src/bulrushflow/routing/retries.py
@@ -47,7 +47,7 @@
     return failure.outcome is Outcome.UNKNOWN and call.idempotent and call.attempt == 0
 
 
-def retry_wait_s(rounds: int, rng: random.Random) -> float:
+def retry_backoff_s(rounds: int, rng: random.Random) -> float:
     """Return how long to wait after every target refused, with full jitter.
 
     :param rounds: how often every target has refused this call before.
--- a/src/bulrushflow/sidecar/adapter.py
+++ b/src/bulrushflow/sidecar/adapter.py
@@ -7,11 +7,11 @@
 
 from bulrushflow.sidecar.endpoints import AnnouncementPaths
 from bulrushflow.sidecar.headers import HeaderNames
-from bulrushflow.sidecar.model import MoveOrder
-from bulrushflow.sidecar.model import MoveStatus
+from bulrushflow.sidecar.model import RolloutOrder
+from bulrushflow.sidecar.model import RolloutStatus
 from bulrushflow.sidecar.model import Routing
 from bulrushflow.sidecar.model import TargetEntry
-from bulrushflow.sidecar.replica import Follower
+from bulrushflow.sidecar.replica import RecordHandler
 from bulrushflow.sidecar.settings import Endpoint
 from bulrushflow.sidecar.storage import KeyedRecord
 from bulrushflow.sidecar.storage import StoreWrite
@@ -41,13 +41,13 @@
     ) -> Result[tuple[TargetEntry, Endpoint], str]:
         """Decode a target's word on itself."""
 
-    def encode_status(self, status: MoveStatus) -> StoreWrite:
+    def encode_status(self, status: RolloutStatus) -> StoreWrite:
         """Return the store's record of a move's status."""
 
-    def decode_status(self, record: KeyedRecord) -> Result[MoveStatus, str]:
+    def decode_status(self, record: KeyedRecord) -> Result[RolloutStatus, str]:
         """Decode the store's record of a move's status."""
 
-    def operator_record_handler(self, orders: "OrderSink") -> Follower:
+    def operator_record_handler(self, orders: "OrderSink") -> RecordHandler:
         """Return what decodes the operator's records."""
 
 
@@ -57,7 +57,7 @@
     def apply_configuration(self, routing: Routing) -> None:
         """Put a configuration in force."""
 
-    def order_rollout(self, order: MoveOrder) -> None:
+    def order_rollout(self, order: RolloutOrder) -> None:
         """Take in an order."""
 
     def withdraw_rollout(self, service: str) -> None:
--- a/src/bulrushflow/sidecar/gate.py
+++ b/src/bulrushflow/sidecar/admission_controller.py
@@ -11,13 +11,13 @@
 from bulrushflow.routing import CallResult
 from bulrushflow.routing import Outcome
 from bulrushflow.routing import not_run
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.headers import HeaderNames
 from bulrushflow.sidecar.model import TargetEntry
 from bulrushflow.sidecar.model import TargetState
-from bulrushflow.sidecar.repeats import RepeatLimit
+from bulrushflow.sidecar.retry_budget import TargetRetryBudget
 from bulrushflow.sidecar.settings import Endpoint
-from bulrushflow.sidecar.slots import Slots
+from bulrushflow.sidecar.slots import SlotPool
 from bulrushflow.sidecar.slots import Wait
 from bulrushflow.sidecar.target_client import TargetClient
 from bulrushflow.timers import Clock
@@ -29,7 +29,7 @@
 EntryCallback = t.Callable[[TargetEntry | None], None]
 
 
-class Gate:
+class AdmissionController:
     """Holds the target's slots, and refuses a call before it is sent.
 
     :param is_forbidden: tells whether a version of a service may get no new calls.
@@ -43,8 +43,8 @@
         is_forbidden: t.Callable[[str, str], bool],
         observer: Observer,
         on_change: EntryCallback,
-        repeats: RepeatLimit,
-        decisions: Decisions,
+        repeats: TargetRetryBudget,
+        decisions: DecisionLog,
         clock: Clock,
     ) -> None:
         self.entry: TargetEntry | None = None
@@ -57,7 +57,7 @@
         self._repeats = repeats
         self._decisions = decisions
         self._clock = clock
-        self._slots = Slots(1)
+        self._slots = SlotPool(1)
         self._client: TargetClient | None = None
         self._departed: collections.OrderedDict[str, tuple[int, int]] = collections.OrderedDict()
         self._sends: set[asyncio.Task[CallResult]] = set()
@@ -159,7 +159,7 @@
             return f"version {call.version} was taken back"
         return None
 
-    def _late_refusal(self, call: Call, slots: Slots) -> str | None:
+    def _late_refusal(self, call: Call, slots: SlotPool) -> str | None:
         """Tell why a call that has its slot may not be sent."""
         if slots is not self._slots:
             return "the target was replaced"
@@ -172,7 +172,7 @@
             return None
         return None if self._repeats.try_consume(now) else "too many repeated calls"
 
-    async def _send(self, call: Call, slots: Slots) -> CallResult:
+    async def _send(self, call: Call, slots: SlotPool) -> CallResult:
         task = asyncio.get_running_loop().create_task(self._exchange(call, slots))
         self._sends.add(task)
         task.add_done_callback(self._sends.discard)
@@ -184,7 +184,7 @@
                 task.cancel()
             raise
 
-    async def _exchange(self, call: Call, slots: Slots) -> CallResult:
+    async def _exchange(self, call: Call, slots: SlotPool) -> CallResult:
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         client = t.cast(TargetClient, self._client)
@@ -231,7 +231,7 @@
         self._slots.refuse_queued("the target was replaced")
         if self._client is not None:
             self._client.close()
-        self._slots = Slots(entry.slots)
+        self._slots = SlotPool(entry.slots)
         self._client = TargetClient(endpoint, entry.target_id, self._names)
         self.endpoint = endpoint
 
--- a/src/bulrushflow/sidecar/application.py
+++ b/src/bulrushflow/sidecar/application.py
@@ -9,32 +9,32 @@
 from mode import Service
 
 from bulrushflow.metrics import Metrics
-from bulrushflow.moves import ExposureLimits
+from bulrushflow.rollouts import ExposureLimits
 from bulrushflow.routing import Call
 from bulrushflow.sidecar.adapter import Adapter
+from bulrushflow.sidecar.admission_controller import AdmissionController
 from bulrushflow.sidecar.balancer import Balancer
 from bulrushflow.sidecar.callers import CallerServer
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.directory import Directory
 from bulrushflow.sidecar.dispatcher import Dispatcher
-from bulrushflow.sidecar.driver import MoveDriver
+from bulrushflow.sidecar.driver import RolloutDriver
 from bulrushflow.sidecar.endpoints import announcement_application
 from bulrushflow.sidecar.endpoints import metrics_application
 from bulrushflow.sidecar.endpoints import readiness_application
-from bulrushflow.sidecar.followers import MoveFollower
-from bulrushflow.sidecar.followers import NodeFollower
-from bulrushflow.sidecar.gate import Gate
-from bulrushflow.sidecar.model import MoveOrder
-from bulrushflow.sidecar.model import MoveStatus
+from bulrushflow.sidecar.forwarding import PeerForwarder
 from bulrushflow.sidecar.model import NodeEntry
+from bulrushflow.sidecar.model import RolloutOrder
+from bulrushflow.sidecar.model import RolloutStatus
 from bulrushflow.sidecar.model import Routing
 from bulrushflow.sidecar.model import TargetEntry
-from bulrushflow.sidecar.moves import Moves
-from bulrushflow.sidecar.peers import Peers
+from bulrushflow.sidecar.record_handlers import NodeEntryHandler
+from bulrushflow.sidecar.record_handlers import RolloutStatusHandler
 from bulrushflow.sidecar.records import node_key
 from bulrushflow.sidecar.registration import Registration
-from bulrushflow.sidecar.repeats import RepeatLimit
 from bulrushflow.sidecar.replica import Replica
+from bulrushflow.sidecar.retry_budget import TargetRetryBudget
+from bulrushflow.sidecar.rollouts import Rollouts
 from bulrushflow.sidecar.settings import Bounds
 from bulrushflow.sidecar.settings import Endpoint
 from bulrushflow.sidecar.settings import SidecarSettings
@@ -66,7 +66,7 @@
         self._store = store
         self._clock = SystemClock()
         self._rng = random.Random()
-        self._decisions = Decisions()
+        self._decisions = DecisionLog()
         self._metrics = Metrics(MAX_ROUTE_LABELS)
         self._own_key = node_key(settings.address)
         self._stopping = False
@@ -74,7 +74,7 @@
         self.timers = Timers(self._rng)
         self._links = Links(settings.address, settings.peer_port, self.timers)
         self.directory = Directory()
-        self._moves = Moves(
+        self._moves = Rollouts(
             settings.node_id,
             self._clock.wall_ms(),
             self._decisions,
@@ -83,25 +83,27 @@
         )
         self._registration = Registration(store, adapter.topics.nodes, self._decisions, self._rng)
         bounds = settings.bounds
-        self._repeats = RepeatLimit(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s)
-        self._gate = Gate(
+        self._retry_budget = TargetRetryBudget(
+            bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
+        )
+        self._admission = AdmissionController(
             adapter.header_names,
             self._moves.is_forbidden,
             self._observe,
             self._announce_target,
-            self._repeats,
+            self._retry_budget,
             self._decisions,
             self._clock,
         )
         self._build_replicas(adapter, store)
-        self._peers = Peers(
-            self._links, self._gate, self._orders, self.directory.is_current, self._decisions
+        self._forwarder = PeerForwarder(
+            self._links, self._admission, self._orders, self.directory.is_current, self._decisions
         )
         self._dispatcher = Dispatcher(
             settings.address,
             self.directory,
-            self._gate,
-            self._peers,
+            self._admission,
+            self._forwarder,
             Balancer(settings.data_centre, self._rng, self._clock.wall_ms),
             self._moves.filter_peers,
             self._metrics,
@@ -120,8 +122,8 @@
 
     def _build_replicas(self, adapter: Adapter, store: Store) -> None:
         topics = adapter.topics
-        nodes = NodeFollower(self.directory, self._own_key, self._found_own, self._decisions)
-        statuses = MoveFollower(adapter.decode_status, self._take_status, self._decisions)
+        nodes = NodeEntryHandler(self.directory, self._own_key, self._found_own, self._decisions)
+        statuses = RolloutStatusHandler(adapter.decode_status, self._take_status, self._decisions)
         self._orders = Replica(
             store, topics.orders, adapter.operator_record_handler(self), self._decisions, self._rng
         )
@@ -131,7 +133,7 @@
     async def on_start(self) -> None:
         await self.timers.start()
         await self._links.start()
-        self._driver = MoveDriver(
+        self._driver = RolloutDriver(
             self._own_key,
             self.settings.node_id,
             lambda: self.settings.own_service,
@@ -154,7 +156,7 @@
         application = announcement_application(
             self._adapter.paths,
             self._adapter.decode_announcement,
-            self._gate,
+            self._admission,
             self._registration,
             self._decisions,
         )
@@ -167,7 +169,7 @@
             web.ServerRunner(self._callers.server(), shutdown_timeout=CLOSE_S),
             self.settings.callers,
         )
-        self.timers.subscribe("repeats", CHECK_S, self._share_repeats)
+        self.timers.subscribe("repeats", CHECK_S, self._update_retry_budget)
         logger.bind(node=self.settings.node_id, service=self.settings.own_service).info("started")
 
     async def on_stop(self) -> None:
@@ -184,7 +186,7 @@
         # The others are told as late as possible: until then the target is served.
         if not await self._links.drain(ends_at - loop.time()):
             logger.warning("calls of other nodes were still in flight")
-        while self._callers.in_flight or self._gate.in_flight:
+        while self._callers.in_flight or self._admission.in_flight:
             if loop.time() >= ends_at:
                 logger.warning("calls were still in flight")
                 break
@@ -194,9 +196,9 @@
         for service in (self._orders, self._nodes, self._statuses, self._registration):
             await service.stop()
         await self.timers.stop()
-        self._peers.close()
+        self._forwarder.close()
         await self._links.stop()
-        self._gate.close()
+        self._admission.close()
         await self._store.close()
         logger.bind(seconds=round(loop.time() - started_at, 2)).info("stopped")
 
@@ -211,7 +213,7 @@
             return
         self.settings = settings
         bounds = settings.bounds
-        self._repeats.configure(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s)
+        self._retry_budget.configure(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s)
         self._moves.configure(_exposure_limits(bounds))
         changed = [
             f.name for f in fields(settings) if getattr(settings, f.name) != getattr(before, f.name)
@@ -219,7 +221,7 @@
         logger.bind(changed=changed, service=settings.own_service).info("settings reloaded")
 
     def apply_configuration(self, routing: Routing) -> None:
-        """See :meth:`OrderSink.configure`; an older configuration is never taken."""
+        """See :meth:`OrderSink.apply_configuration`; an older configuration is never taken."""
         if routing.version <= self.routing.version:
             return
         self._decisions.event(
@@ -227,23 +229,23 @@
         )
         self.routing = routing
 
-    def order_rollout(self, order: MoveOrder) -> None:
-        """See :meth:`OrderSink.order_move`."""
+    def order_rollout(self, order: RolloutOrder) -> None:
+        """See :meth:`OrderSink.order_rollout`."""
         self._moves.apply_order(order, asyncio.get_running_loop().time())
 
     def withdraw_rollout(self, service: str) -> None:
-        """See :meth:`OrderSink.withdraw_move`."""
+        """See :meth:`OrderSink.withdraw_rollout`."""
         self._moves.remove_order(service)
 
     def report_unreadable(self, key: str, reason: str) -> None:
-        """See :meth:`OrderSink.unreadable`."""
+        """See :meth:`OrderSink.report_unreadable`."""
         self._decisions.event("record unreadable", key=key, reason=reason)
 
-    def _take_status(self, status: MoveStatus) -> None:
+    def _take_status(self, status: RolloutStatus) -> None:
         self._moves.apply_status(status, asyncio.get_running_loop().time(), recorded=True)
 
     def _observe(self, call: Call, failed: bool, seconds: float) -> None:
-        entry = self._gate.entry
+        entry = self._admission.entry
         warming = entry is not None and entry.warm_at_ms > self._clock.wall_ms()
         self._moves.observe_call(call, failed, seconds, warming)
 
@@ -260,14 +262,14 @@
         first = not self._nodes.loaded
         self._registration.found(entry)
         settings = self.settings
-        if not first or self._gate.entry is not None or settings.target is None:
+        if not first or self._admission.entry is not None or settings.target is None:
             return
         if entry is not None and entry.target is not None:
-            self._gate.apply_announcement(entry.target, settings.target)
+            self._admission.apply_announcement(entry.target, settings.target)
 
-    async def _share_repeats(self) -> None:
+    async def _update_retry_budget(self) -> None:
         service = self.settings.own_service
-        self._repeats.target_count = max(1, len(self.directory.ready_peers(service)))
+        self._retry_budget.target_count = max(1, len(self.directory.ready_peers(service)))
 
     async def _serve_application(self, app: web.Application, endpoint: Endpoint) -> None:
         await self._serve(web.AppRunner(app, access_log=None, shutdown_timeout=CLOSE_S), endpoint)
--- a/src/bulrushflow/sidecar/callers.py
+++ b/src/bulrushflow/sidecar/callers.py
@@ -11,15 +11,15 @@
 
 from bulrushflow.bodies import read_body
 from bulrushflow.metrics import Metrics
-from bulrushflow.routing import Answer
 from bulrushflow.routing import Call
 from bulrushflow.routing import CallFailure
 from bulrushflow.routing import CallResult
 from bulrushflow.routing import Outcome
+from bulrushflow.routing import Response
 from bulrushflow.routing import outcome_label
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.dispatcher import Dispatcher
-from bulrushflow.sidecar.headers import HOP_HEADERS
+from bulrushflow.sidecar.headers import HOP_BY_HOP_HEADERS
 from bulrushflow.sidecar.headers import HeaderNames
 from bulrushflow.sidecar.model import Route
 from bulrushflow.sidecar.model import Routing
@@ -50,11 +50,11 @@
         own_service: t.Callable[[], str],
         dispatcher: Dispatcher,
         metrics: Metrics,
-        decisions: Decisions,
+        decisions: DecisionLog,
         rng: random.Random,
     ) -> None:
         self._names = names
-        self._own_headers = HOP_HEADERS | {
+        self._own_headers = HOP_BY_HOP_HEADERS | {
             names.request_id.lower(),
             names.timeout_ms.lower(),
             names.caller_service.lower(),
@@ -181,7 +181,7 @@
             case Err(failure):
                 return self._failure(call, failure, version, seconds)
 
-    def _passed_on(self, call: Call, answer: Answer) -> web.Response:
+    def _passed_on(self, call: Call, answer: Response) -> web.Response:
         headers = CIMultiDict(answer.headers)
         headers[self._names.request_id] = call.request_id
         return web.Response(status=answer.status, headers=headers, body=answer.body)
--- a/src/bulrushflow/sidecar/decisions.py
+++ b/src/bulrushflow/sidecar/decisions.py
@@ -5,8 +5,8 @@
 
 from loguru import logger
 
-from bulrushflow.routing import Answer
 from bulrushflow.routing import Call
+from bulrushflow.routing import Response
 
 LINES_PER_S = 5.0
 """Lines of one kind a second; what is beyond is counted and told with the next line."""
@@ -35,7 +35,7 @@
         return True
 
 
-class Decisions:
+class DecisionLog:
     """Writes what touches a call or changes what this process believes."""
 
     __slots__ = ("_answered", "_bounds_by_kind")
@@ -62,7 +62,7 @@
         """Tell that a call failed."""
         self._call("call failed", call, outcome=outcome, **inputs)
 
-    def answered(self, call: Call, answer: Answer, late: bool, **inputs: t.Any) -> None:
+    def answered(self, call: Call, answer: Response, late: bool, **inputs: t.Any) -> None:
         """Tell of an answered call; those in time and without an error are mostly left out."""
         if late:
             self._call("call answered late", call, status=answer.status, **inputs)
--- a/src/bulrushflow/sidecar/dispatcher.py
+++ b/src/bulrushflow/sidecar/dispatcher.py
@@ -14,14 +14,14 @@
 from bulrushflow.routing import Outcome
 from bulrushflow.routing import not_run
 from bulrushflow.routing import unknown
+from bulrushflow.sidecar.admission_controller import AdmissionController
 from bulrushflow.sidecar.balancer import Balancer
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.directory import Directory
 from bulrushflow.sidecar.directory import Peer
-from bulrushflow.sidecar.gate import Gate
+from bulrushflow.sidecar.forwarding import PeerForwarder
+from bulrushflow.sidecar.forwarding import PeerReport
 from bulrushflow.sidecar.model import Route
-from bulrushflow.sidecar.peers import PeerReport
-from bulrushflow.sidecar.peers import Peers
 
 MAX_REFUSALS = 4
 """Attempts at targets that refuse a call before it is given up."""
@@ -96,12 +96,12 @@
         self,
         own_address: str,
         directory: Directory,
-        gate: Gate,
-        peers: Peers,
+        gate: AdmissionController,
+        peers: PeerForwarder,
         balancer: Balancer,
         choose_version: VersionFilter,
         metrics: Metrics,
-        decisions: Decisions,
+        decisions: DecisionLog,
         rng: random.Random,
     ) -> None:
         self._own_address = own_address
--- a/src/bulrushflow/sidecar/driver.py
+++ b/src/bulrushflow/sidecar/driver.py
@@ -13,16 +13,16 @@
 from result import Err
 from result import Ok
 
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.directory import Directory
-from bulrushflow.sidecar.model import MovePhase
-from bulrushflow.sidecar.model import MoveStatus
-from bulrushflow.sidecar.moves import FULL_PERMILLE
-from bulrushflow.sidecar.moves import Move
-from bulrushflow.sidecar.moves import Moves
-from bulrushflow.sidecar.records import MOVE_KEY_PREFIX
-from bulrushflow.sidecar.records import decode_move
-from bulrushflow.sidecar.records import encode_move
+from bulrushflow.sidecar.model import RolloutPhase
+from bulrushflow.sidecar.model import RolloutStatus
+from bulrushflow.sidecar.records import ROLLOUT_KEY_PREFIX
+from bulrushflow.sidecar.records import decode_rollout_status
+from bulrushflow.sidecar.records import encode_rollout_status
+from bulrushflow.sidecar.rollouts import FULL_PERMILLE
+from bulrushflow.sidecar.rollouts import Rollout
+from bulrushflow.sidecar.rollouts import Rollouts
 from bulrushflow.sidecar.statuses import StatusLog
 from bulrushflow.timers import Clock
 from bulrushflow.timers import Timers
@@ -39,7 +39,7 @@
 """Time without new calls after which the old version has answered what it had."""
 
 
-class MoveDriver:
+class RolloutDriver:
     """Judges and paces the moves of this node's service."""
 
     def __init__(
@@ -47,13 +47,13 @@
         own_key: str,
         own_id: str,
         own_service: t.Callable[[], str],
-        moves: Moves,
+        moves: Rollouts,
         directory: Directory,
         links: Links,
         statuses: StatusLog,
         timers: Timers,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self._own_key = own_key
         self._own_id = own_id
@@ -67,7 +67,7 @@
         self._due: tuple[tuple[int, int], float] | None = None
         """Order and step that are due, and since when."""
         self._sending: set[asyncio.Task[None]] = set()
-        self._unwritten: dict[str, MoveStatus] = {}
+        self._unwritten: dict[str, RolloutStatus] = {}
         links.handle("evidence_report", self._take_evidence)
         links.handle("state_notice", self._take_notice)
         timers.subscribe("moves", CHECK_S, self.check)
@@ -78,7 +78,7 @@
         if move is None:
             return
         now = asyncio.get_running_loop().time()
-        if move.phase is MovePhase.RUNNING:
+        if move.phase is RolloutPhase.RUNNING:
             self._spread(move)
             reason = self._moves.update_analysis(move, now)
             if reason is not None:
@@ -89,7 +89,7 @@
         if unwritten is not None:
             await self._write(move, unwritten)
 
-    def _spread(self, move: Move) -> None:
+    def _spread(self, move: Rollout) -> None:
         evidence = self._moves.local_evidence(move)
         if evidence.sequence:
             message = codec.evidence_to_message(evidence)
@@ -105,18 +105,18 @@
             self._sending.add(sending)
             sending.add_done_callback(self._sending.discard)
 
-    def roll_back(self, move: Move, reason: str) -> None:
+    def roll_back(self, move: Rollout, reason: str) -> None:
         """Take a version back here and on every node that can be reached, then record it."""
-        status = self._next(move, 0, MovePhase.ROLLED_BACK, reason)
+        status = self._next(move, 0, RolloutPhase.ROLLED_BACK, reason)
         self._moves.apply_status(status, asyncio.get_running_loop().time())
         self._unwritten[move.order.service] = status
         notice = messages.StateNotice(
-            key=MOVE_KEY_PREFIX + move.order.service, value=encode_move(status)
+            key=ROLLOUT_KEY_PREFIX + move.order.service, value=encode_rollout_status(status)
         )
         # No take-back may wait for the store, or for a node that doesn't answer.
         self._tell(self._directory.peers_by_key, state_notice=notice)
 
-    async def _pace(self, move: Move, now: float) -> None:
+    async def _pace(self, move: Rollout, now: float) -> None:
         step = self._due_step(move, now)
         if step is None:
             return
@@ -127,30 +127,30 @@
         # The others have their own evidence only, which is none to raise a share by.
         if rank >= JUDGES or now - self._due[1] < rank * RANK_WAIT_S:
             return
-        if step.phase is MovePhase.ROLLED_BACK:
+        if step.phase is RolloutPhase.ROLLED_BACK:
             self.roll_back(move, step.reason)
             return
         await self._write(move, step)
 
-    def _due_step(self, move: Move, now: float) -> MoveStatus | None:
+    def _due_step(self, move: Rollout, now: float) -> RolloutStatus | None:
         status = move.status
         if status is None:
-            return self._next(move, 0, MovePhase.RUNNING, "ordered")
+            return self._next(move, 0, RolloutPhase.RUNNING, "ordered")
         if status.share_permille >= FULL_PERMILLE:
             if now - move.share_since < EMPTYING_S:
                 return None
-            return self._next(move, FULL_PERMILLE, MovePhase.COMPLETED, status.reason)
+            return self._next(move, FULL_PERMILLE, RolloutPhase.COMPLETED, status.reason)
         pace = self._moves.next_step(move, now, self._clock.wall_ms())
         reason = f"{pace.rule}; {move.controller.latest_result.evidence}"
         if pace.roll_back:
-            return self._next(move, 0, MovePhase.ROLLED_BACK, reason)
+            return self._next(move, 0, RolloutPhase.ROLLED_BACK, reason)
         if pace.completed:
-            return self._next(move, FULL_PERMILLE, MovePhase.RUNNING, reason)
+            return self._next(move, FULL_PERMILLE, RolloutPhase.RUNNING, reason)
         if pace.share_permille != status.share_permille:
-            return self._next(move, pace.share_permille, MovePhase.RUNNING, reason)
+            return self._next(move, pace.share_permille, RolloutPhase.RUNNING, reason)
         return None
 
-    def _next(self, move: Move, share: int, phase: MovePhase, reason: str) -> MoveStatus:
+    def _next(self, move: Rollout, share: int, phase: RolloutPhase, reason: str) -> RolloutStatus:
         if move.status is not None:
             return replace(
                 move.status,
@@ -163,7 +163,7 @@
         now = asyncio.get_running_loop().time()
         order = move.order
         stated_at_ms = self._clock.wall_ms() - int((now - move.seen_at) * 1000)
-        return MoveStatus(
+        return RolloutStatus(
             service=order.service,
             to_version=order.to_version,
             order_id=order.order_id,
@@ -176,7 +176,7 @@
             decided_by=self._own_id,
         )
 
-    async def _write(self, move: Move, status: MoveStatus) -> None:
+    async def _write(self, move: Rollout, status: RolloutStatus) -> None:
         service = status.service
         if self._moves.is_recorded(status):
             self._unwritten.pop(service, None)
@@ -218,9 +218,9 @@
         )
 
     async def _take_notice(self, message: t.Any) -> None:
-        if not message.key.startswith(MOVE_KEY_PREFIX):
+        if not message.key.startswith(ROLLOUT_KEY_PREFIX):
             return
-        match decode_move(message.value):
+        match decode_rollout_status(message.value):
             case Ok(status):
                 self._moves.apply_status(status, asyncio.get_running_loop().time())
             case Err(reason):
--- a/src/bulrushflow/sidecar/endpoints.py
+++ b/src/bulrushflow/sidecar/endpoints.py
@@ -8,8 +8,8 @@
 from result import Result
 
 from bulrushflow.metrics import Metrics
-from bulrushflow.sidecar.decisions import Decisions
-from bulrushflow.sidecar.gate import Gate
+from bulrushflow.sidecar.admission_controller import AdmissionController
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.model import TargetEntry
 from bulrushflow.sidecar.model import TargetState
 from bulrushflow.sidecar.registration import Registration
@@ -32,9 +32,9 @@
 def announcement_application(
     paths: AnnouncementPaths,
     decode: Decoder,
-    gate: Gate,
+    admission: AdmissionController,
     registration: Registration,
-    decisions: Decisions,
+    decisions: DecisionLog,
 ) -> web.Application:
     """Return the application that takes the target's announcements.
 
@@ -49,7 +49,7 @@
                 return web.json_response({"error": reason}, status=400)
             case Ok((entry, endpoint)):
                 pass
-        if not gate.apply_announcement(entry, endpoint):
+        if not admission.apply_announcement(entry, endpoint):
             decisions.event(
                 "announcement late",
                 target=target_id,
@@ -61,7 +61,7 @@
         return web.json_response({})
 
     async def leave(request: web.Request) -> web.Response:
-        gate.remove_target(request.match_info["target_id"])
+        admission.remove_target(request.match_info["target_id"])
         await registration.settled(ACKNOWLEDGE_S)
         return web.json_response({})
 
--- a/src/bulrushflow/sidecar/peers.py
+++ b/src/bulrushflow/sidecar/forwarding.py
@@ -12,9 +12,9 @@
 from bulrushflow.routing import not_run
 from bulrushflow.routing import refused
 from bulrushflow.routing import unknown
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.admission_controller import AdmissionController
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.directory import Peer
-from bulrushflow.sidecar.gate import Gate
 from bulrushflow.sidecar.replica import Replica
 from bulrushflow.wire import codec
 from bulrushflow.wire.links import Links
@@ -35,7 +35,7 @@
     """Calls per slot; ``None`` while its target takes no calls."""
 
 
-class Peers:
+class PeerForwarder:
     """Sends calls to other nodes, and runs the calls that they send.
 
     :param orders: follows the operator's records; the nodes tell each other how far they are.
@@ -45,10 +45,10 @@
     def __init__(
         self,
         links: Links,
-        gate: Gate,
+        gate: AdmissionController,
         orders: Replica,
         is_current: t.Callable[[Peer], bool],
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self._links = links
         self._gate = gate
--- a/src/bulrushflow/sidecar/headers.py
+++ b/src/bulrushflow/sidecar/headers.py
@@ -25,5 +25,5 @@
     """Id of the target that answered."""
 
 
-HOP_HEADERS = CONNECTION_HEADERS | {"expect", "proxy-connection"}
+HOP_BY_HOP_HEADERS = CONNECTION_HEADERS | {"expect", "proxy-connection"}
 """Headers that concern one connection only; in lower case."""
--- a/src/bulrushflow/sidecar/model.py
+++ b/src/bulrushflow/sidecar/model.py
@@ -119,7 +119,7 @@
         return self.address, self.peer_port
 
 
-class MovePhase(enum.StrEnum):
+class RolloutPhase(enum.StrEnum):
     """Where a move of traffic between two versions stands."""
 
     RUNNING = "running"
@@ -128,7 +128,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MoveOrder:
+class RolloutOrder:
     """The operator's wish to have a service's traffic on a version by a time."""
 
     service: str
@@ -139,7 +139,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MoveStatus:
+class RolloutStatus:
     """The state of a move that all nodes follow; kept in the store.
 
     A status with a higher ``step`` of the same order replaces a lower one.
@@ -150,7 +150,7 @@
     order_id: int
     step: int
     share_permille: int
-    phase: MovePhase
+    phase: RolloutPhase
     stated_at_ms: int
     finish_by_ms: int
     reason: str = ""
--- a/src/bulrushflow/sidecar/followers.py
+++ b/src/bulrushflow/sidecar/record_handlers.py
@@ -6,16 +6,16 @@
 from result import Ok
 from result import Result
 
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.directory import Directory
-from bulrushflow.sidecar.model import MoveStatus
 from bulrushflow.sidecar.model import NodeEntry
+from bulrushflow.sidecar.model import RolloutStatus
 from bulrushflow.sidecar.records import NODE_KEY_PREFIX
-from bulrushflow.sidecar.records import decode_node
+from bulrushflow.sidecar.records import decode_node_entry
 from bulrushflow.sidecar.storage import KeyedRecord
 
 
-class NodeFollower:
+class NodeEntryHandler:
     """Keeps the directory as the store has it.
 
     :param on_own: told of this node's own entry as the store has it, ``None`` without one.
@@ -26,7 +26,7 @@
         directory: Directory,
         own_key: str,
         on_own: t.Callable[[NodeEntry | None], None],
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self._directory = directory
         self._own_key = own_key
@@ -34,7 +34,7 @@
         self._decisions = decisions
 
     def replace(self, records: t.Sequence[KeyedRecord]) -> None:
-        """See :meth:`Follower.replace`."""
+        """See :meth:`RecordHandler.replace`."""
         held = [record for record in records if record.value]
         if all(record.key != self._own_key for record in held):
             self._on_own(None)
@@ -43,13 +43,13 @@
             self.apply(record)
 
     def apply(self, record: KeyedRecord) -> None:
-        """See :meth:`Follower.apply`."""
+        """See :meth:`RecordHandler.apply`."""
         if not record.key.startswith(NODE_KEY_PREFIX):
             return
         if not record.value:
             self._drop(record)
             return
-        match decode_node(record.value):
+        match decode_node_entry(record.value):
             case Err(reason):
                 self._decisions.event("record unreadable", key=record.key, reason=reason)
             case Ok(entry) if record.key == self._own_key:
@@ -75,7 +75,7 @@
         self._directory.remove(record.key)
 
 
-class MoveFollower:
+class RolloutStatusHandler:
     """Hands each move's status in the store to the moves.
 
     :param decode: decodes a record; the keys are the platform's.
@@ -83,21 +83,21 @@
 
     def __init__(
         self,
-        decode: t.Callable[[KeyedRecord], Result[MoveStatus, str]],
-        on_status: t.Callable[[MoveStatus], None],
-        decisions: Decisions,
+        decode: t.Callable[[KeyedRecord], Result[RolloutStatus, str]],
+        on_status: t.Callable[[RolloutStatus], None],
+        decisions: DecisionLog,
     ) -> None:
         self._decode = decode
         self._on_status = on_status
         self._decisions = decisions
 
     def replace(self, records: t.Sequence[KeyedRecord]) -> None:
-        """See :meth:`Follower.replace`."""
+        """See :meth:`RecordHandler.replace`."""
         for record in records:
             self.apply(record)
 
     def apply(self, record: KeyedRecord) -> None:
-        """See :meth:`Follower.apply`."""
+        """See :meth:`RecordHandler.apply`."""
         if not record.value:
             return
         match self._decode(record):
--- a/src/bulrushflow/sidecar/records.py
+++ b/src/bulrushflow/sidecar/records.py
@@ -7,13 +7,13 @@
 from result import Ok
 from result import Result
 
-from bulrushflow.sidecar.model import MoveStatus
 from bulrushflow.sidecar.model import NodeEntry
+from bulrushflow.sidecar.model import RolloutStatus
 
 T = t.TypeVar("T")
 
 NODE_KEY_PREFIX = "node/"
-MOVE_KEY_PREFIX = "move/"
+ROLLOUT_KEY_PREFIX = "move/"
 
 
 def node_key(address: str) -> str:
@@ -21,24 +21,24 @@
     return NODE_KEY_PREFIX + address
 
 
-def encode_node(entry: NodeEntry) -> bytes:
+def encode_node_entry(entry: NodeEntry) -> bytes:
     """Encode a node's entry."""
     return msgspec.json.encode(entry)
 
 
-def decode_node(data: bytes) -> Result[NodeEntry, str]:
+def decode_node_entry(data: bytes) -> Result[NodeEntry, str]:
     """Decode a node's entry."""
     return _decode(data, NodeEntry, "node entry")
 
 
-def encode_move(status: MoveStatus) -> bytes:
+def encode_rollout_status(status: RolloutStatus) -> bytes:
     """Encode a move's status."""
     return msgspec.json.encode(status)
 
 
-def decode_move(data: bytes) -> Result[MoveStatus, str]:
+def decode_rollout_status(data: bytes) -> Result[RolloutStatus, str]:
     """Decode a move's status."""
-    return _decode(data, MoveStatus, "move status")
+    return _decode(data, RolloutStatus, "move status")
 
 
 def _decode(data: bytes, kind: type[T], name: str) -> Result[T, str]:
--- a/src/bulrushflow/sidecar/registration.py
+++ b/src/bulrushflow/sidecar/registration.py
@@ -7,9 +7,9 @@
 from result import Ok
 
 from bulrushflow.background import BackgroundService
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.model import NodeEntry
-from bulrushflow.sidecar.records import encode_node
+from bulrushflow.sidecar.records import encode_node_entry
 from bulrushflow.sidecar.records import node_key
 from bulrushflow.sidecar.storage import Store
 from bulrushflow.sidecar.storage import StoreWrite
@@ -21,7 +21,9 @@
 class Registration(BackgroundService):
     """Writes the newest entry; earlier ones that were not written yet are left out."""
 
-    def __init__(self, store: Store, topic: str, decisions: Decisions, rng: random.Random) -> None:
+    def __init__(
+        self, store: Store, topic: str, decisions: DecisionLog, rng: random.Random
+    ) -> None:
         super().__init__()
         self._store = store
         self._topic = topic
@@ -64,7 +66,7 @@
             if entry is None or entry == self._written:
                 self._settled.set()
                 continue
-            write = StoreWrite(node_key(entry.address), encode_node(entry))
+            write = StoreWrite(node_key(entry.address), encode_node_entry(entry))
             match await self._store.append(self._topic, [write]):
                 case Ok(offset):
                     self._written = entry
--- a/src/bulrushflow/sidecar/replica.py
+++ b/src/bulrushflow/sidecar/replica.py
@@ -9,7 +9,7 @@
 from result import Result
 
 from bulrushflow.background import BackgroundService
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.storage import KeyedRecord
 from bulrushflow.sidecar.storage import Store
 from bulrushflow.sidecar.storage import StoreError
@@ -29,7 +29,7 @@
 MAX_BACKOFF_S = 0.8
 
 
-class Follower(t.Protocol):
+class RecordHandler(t.Protocol):
     """What takes in a topic's records."""
 
     def replace(self, records: t.Sequence[KeyedRecord]) -> None:
@@ -46,8 +46,8 @@
         self,
         store: Store,
         topic: str,
-        follower: Follower,
-        decisions: Decisions,
+        follower: RecordHandler,
+        decisions: DecisionLog,
         rng: random.Random,
     ) -> None:
         super().__init__()
--- a/src/bulrushflow/sidecar/repeats.py
+++ b/src/bulrushflow/sidecar/retry_budget.py
@@ -10,7 +10,7 @@
 """Length of the spans that a window is counted in."""
 
 
-class RepeatLimit:
+class TargetRetryBudget:
     """Counts first and repeated calls at one target over a sliding window.
 
     Each target keeps its part of the service's bound, so that no messages are needed.
--- a/src/bulrushflow/sidecar/moves.py
+++ b/src/bulrushflow/sidecar/rollouts.py
@@ -3,19 +3,19 @@
 import random
 import typing as t
 
-from bulrushflow.moves import EvidenceBook
-from bulrushflow.moves import ExposureLimits
-from bulrushflow.moves import Judgement
-from bulrushflow.moves import MoveController
-from bulrushflow.moves import MoveTimes
-from bulrushflow.moves import Pace
-from bulrushflow.moves.evidence import Evidence
+from bulrushflow.rollouts import AnalysisOutcome
+from bulrushflow.rollouts import EvidenceStore
+from bulrushflow.rollouts import ExposureLimits
+from bulrushflow.rollouts import RolloutController
+from bulrushflow.rollouts import RolloutTimes
+from bulrushflow.rollouts import StepDecision
+from bulrushflow.rollouts.evidence import Evidence
 from bulrushflow.routing import Call
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.directory import Peer
-from bulrushflow.sidecar.model import MoveOrder
-from bulrushflow.sidecar.model import MovePhase
-from bulrushflow.sidecar.model import MoveStatus
+from bulrushflow.sidecar.model import RolloutOrder
+from bulrushflow.sidecar.model import RolloutPhase
+from bulrushflow.sidecar.model import RolloutStatus
 
 FULL_PERMILLE = 1000
 FINISH_MARGIN_S = 2.5
@@ -24,30 +24,30 @@
 """Stands for every other version of the service in the evidence."""
 
 
-class Move:
+class Rollout:
     """One order, its status, and this node's judgement on it."""
 
     __slots__ = ("controller", "order", "seen_at", "share_since", "status")
 
-    def __init__(self, order: MoveOrder, seen_at: float, limits: ExposureLimits) -> None:
+    def __init__(self, order: RolloutOrder, seen_at: float, limits: ExposureLimits) -> None:
         self.order = order
         self.seen_at = seen_at
         self.share_since = seen_at
-        self.status: MoveStatus | None = None
-        times = MoveTimes(0, int(max(1.0, order.duration_s - FINISH_MARGIN_S) * 1000))
-        self.controller = MoveController(OLD_VERSION, order.to_version, times, seen_at, limits)
+        self.status: RolloutStatus | None = None
+        times = RolloutTimes(0, int(max(1.0, order.duration_s - FINISH_MARGIN_S) * 1000))
+        self.controller = RolloutController(OLD_VERSION, order.to_version, times, seen_at, limits)
 
     @property
-    def phase(self) -> MovePhase:
+    def phase(self) -> RolloutPhase:
         """Where the move stands, as far as this node knows."""
-        return self.status.phase if self.status is not None else MovePhase.RUNNING
+        return self.status.phase if self.status is not None else RolloutPhase.RUNNING
 
     @property
     def share_permille(self) -> int:
         """Share of the calls that go to the new version."""
-        if self.status is None or self.phase is MovePhase.ROLLED_BACK:
+        if self.status is None or self.phase is RolloutPhase.ROLLED_BACK:
             return 0
-        return FULL_PERMILLE if self.phase is MovePhase.COMPLETED else self.status.share_permille
+        return FULL_PERMILLE if self.phase is RolloutPhase.COMPLETED else self.status.share_permille
 
     def elapsed_s(self, now: float, now_ms: int) -> float:
         """Return the seconds since the order, on this node's own clock where it saw the order."""
@@ -57,7 +57,7 @@
         return max(own_s, (now_ms - self.status.stated_at_ms) / 1000)
 
 
-class Moves:
+class Rollouts:
     """The moves by service.
 
     :param limits: bound the calls of a version that isn't proved.
@@ -67,13 +67,13 @@
         self,
         own_id: str,
         incarnation: int,
-        decisions: Decisions,
+        decisions: DecisionLog,
         rng: random.Random,
         limits: ExposureLimits,
     ) -> None:
-        self.by_service: dict[str, Move] = {}
-        self._book = EvidenceBook(own_id, incarnation)
-        self._statuses_by_service: dict[str, MoveStatus] = {}
+        self.by_service: dict[str, Rollout] = {}
+        self._book = EvidenceStore(own_id, incarnation)
+        self._statuses_by_service: dict[str, RolloutStatus] = {}
         self._recorded_by_service: dict[str, int] = {}
         self._decisions = decisions
         self._rng = rng
@@ -83,12 +83,12 @@
         """Put other limits in force, for orders from now on."""
         self._limits = limits
 
-    def apply_order(self, order: MoveOrder, now: float) -> None:
+    def apply_order(self, order: RolloutOrder, now: float) -> None:
         """Take in the operator's order; a later one of the service replaces an earlier one."""
         held = self.by_service.get(order.service)
         if held is not None and held.order.order_id >= order.order_id:
             return
-        move = Move(order, now, self._limits)
+        move = Rollout(order, now, self._limits)
         self.by_service[order.service] = move
         self._book.retain([m.order.order_id for m in self.by_service.values()])
         self._decisions.event(
@@ -106,18 +106,18 @@
         """Take in that the operator's order is gone."""
         self.by_service.pop(service, None)
 
-    def is_recorded(self, status: MoveStatus) -> bool:
+    def is_recorded(self, status: RolloutStatus) -> bool:
         """Tell whether the store holds an end of the status's order already."""
         return self._recorded_by_service.get(status.service) == status.order_id
 
-    def apply_status(self, status: MoveStatus, now: float, recorded: bool = False) -> bool:
+    def apply_status(self, status: RolloutStatus, now: float, recorded: bool = False) -> bool:
         """Take in a status; ``False`` when it says nothing new.
 
         :param recorded: whether the store holds it. Of two ends of one order the recorded one
             counts, since operators act on it.
         """
         known = self._statuses_by_service.get(status.service)
-        ends = recorded and status.phase is not MovePhase.RUNNING
+        ends = recorded and status.phase is not RolloutPhase.RUNNING
         ends = ends and not self.is_recorded(status)
         if ends:
             self._recorded_by_service[status.service] = status.order_id
@@ -131,7 +131,7 @@
         self._follow(move, status, now)
         return True
 
-    def _follow(self, move: Move, status: MoveStatus, now: float) -> None:
+    def _follow(self, move: Rollout, status: RolloutStatus, now: float) -> None:
         before = move.share_permille
         move.status = status
         if move.share_permille != before:
@@ -153,7 +153,7 @@
         move = self.by_service.get(service)
         if move is None or move.order.to_version != version:
             return False
-        return move.phase is MovePhase.ROLLED_BACK
+        return move.phase is RolloutPhase.ROLLED_BACK
 
     def filter_peers(self, service: str, peers: t.Sequence[Peer]) -> t.Sequence[Peer]:
         """Leave the peers with the version that one call goes to."""
@@ -163,7 +163,7 @@
         new = [peer for peer in peers if _version(peer) == move.order.to_version]
         old = [peer for peer in peers if _version(peer) != move.order.to_version]
         share = move.share_permille
-        if move.phase is MovePhase.ROLLED_BACK or not share:
+        if move.phase is RolloutPhase.ROLLED_BACK or not share:
             return old
         if share >= FULL_PERMILLE or self._rng.randrange(FULL_PERMILLE) < share:
             return new or old
@@ -172,13 +172,13 @@
     def observe_call(self, call: Call, failed: bool, seconds: float, warming: bool) -> None:
         """Count an answer of this node's own target."""
         move = self.by_service.get(call.service)
-        if move is None or move.phase is not MovePhase.RUNNING:
+        if move is None or move.phase is not RolloutPhase.RUNNING:
             return
         version = call.version if call.version == move.order.to_version else OLD_VERSION
         own = self._book.local(move.order.order_id)
         own.observe(version, call.route, failed, seconds, warming)
 
-    def local_evidence(self, move: Move) -> Evidence:
+    def local_evidence(self, move: Rollout) -> Evidence:
         """Return what this node's target showed."""
         return self._book.local(move.order.order_id)
 
@@ -186,15 +186,15 @@
         """Take in what another node's target showed."""
         self._book.merge(evidence, now)
 
-    def update_analysis(self, move: Move, now: float) -> str | None:
+    def update_analysis(self, move: Rollout, now: float) -> str | None:
         """Judge the new version on all evidence; return why it must be taken back, if it must."""
         totals = self._book.totals(move.order.order_id)
         verdict = move.controller.update_analysis(totals, move.share_permille, now)
-        if verdict.outcome is not Judgement.FAULTY:
+        if verdict.outcome is not AnalysisOutcome.FAULTY:
             return None
         return f"{verdict.rule}: {verdict.evidence}"
 
-    def next_step(self, move: Move, now: float, now_ms: int) -> Pace:
+    def next_step(self, move: Rollout, now: float, now_ms: int) -> StepDecision:
         """Return the next step of a move by the evidence and the time."""
         elapsed_ms = int(move.elapsed_s(now, now_ms) * 1000)
         return move.controller.next_step(move.share_permille, elapsed_ms, now)
@@ -205,9 +205,9 @@
     return target.version if target is not None else ""
 
 
-def _supersedes(status: MoveStatus, known: MoveStatus) -> bool:
+def _supersedes(status: RolloutStatus, known: RolloutStatus) -> bool:
     if status.order_id != known.order_id:
         return status.order_id > known.order_id
-    if known.phase is not MovePhase.RUNNING:
+    if known.phase is not RolloutPhase.RUNNING:
         return False
-    return status.phase is not MovePhase.RUNNING or status.step > known.step
+    return status.phase is not RolloutPhase.RUNNING or status.step > known.step
--- a/src/bulrushflow/sidecar/slots.py
+++ b/src/bulrushflow/sidecar/slots.py
@@ -51,7 +51,7 @@
     granted: asyncio.Future[str | None] = field(compare=False)
 
 
-class Slots:
+class SlotPool:
     """Grants slots. A call that can't be answered while it is of use is refused at once."""
 
     __slots__ = ("_arrivals", "_late", "_queue", "_service_by_route", "active", "capacity")
--- a/src/bulrushflow/sidecar/statuses.py
+++ b/src/bulrushflow/sidecar/statuses.py
@@ -4,13 +4,13 @@
 
 from result import Result
 
-from bulrushflow.sidecar.model import MoveStatus
+from bulrushflow.sidecar.model import RolloutStatus
 from bulrushflow.sidecar.replica import Replica
 from bulrushflow.sidecar.storage import Store
 from bulrushflow.sidecar.storage import StoreError
 from bulrushflow.sidecar.storage import StoreWrite
 
-StatusEncoder = t.Callable[[MoveStatus], StoreWrite]
+StatusEncoder = t.Callable[[RolloutStatus], StoreWrite]
 
 
 class StatusLog:
@@ -33,6 +33,6 @@
         """How far this node has read."""
         return self._replica.offset
 
-    async def write(self, status: MoveStatus) -> Result[int, StoreError]:
+    async def write(self, status: RolloutStatus) -> Result[int, StoreError]:
         """Append a status, unless something was written that this node has not read."""
         return await self._store.append(self._topic, [self._encode(status)], self.offset)
--- a/src/bulrushflow/sidecar/target_client.py
+++ b/src/bulrushflow/sidecar/target_client.py
@@ -3,15 +3,15 @@
 import asyncio
 import socket
 
-from bulrushflow.routing import Answer
 from bulrushflow.routing import Call
 from bulrushflow.routing import CallResult
+from bulrushflow.routing import Response
 from bulrushflow.routing import not_run
 from bulrushflow.routing import unknown
 from bulrushflow.sidecar.exchange import ExchangeError
 from bulrushflow.sidecar.exchange import RawAnswer
 from bulrushflow.sidecar.exchange import TargetConnection
-from bulrushflow.sidecar.headers import HOP_HEADERS
+from bulrushflow.sidecar.headers import HOP_BY_HOP_HEADERS
 from bulrushflow.sidecar.headers import HeaderNames
 from bulrushflow.sidecar.settings import Endpoint
 
@@ -27,7 +27,7 @@
 REFUSAL_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that tell callers that a call did not run."""
 SUCCESS = range(200, 300)
-_DROPPED = HOP_HEADERS | {"server", "date"}
+_DROPPED = HOP_BY_HOP_HEADERS | {"server", "date"}
 
 
 class TargetClient:
@@ -100,7 +100,7 @@
             # Passed on it would say that the call didn't run.
             return unknown(f"the target ran the call and answered {answer.status}")
         headers = tuple(item for item in answer.headers if item[0] not in _DROPPED)
-        return Answer(answer.status, headers, answer.body).as_result()
+        return Response(answer.status, headers, answer.body).as_result()
 
     def _headers(self, call: Call, left_ms: int) -> list[tuple[str, str]]:
         names = self._names
--- a/src/bulrushflow/targets/gatekeeper.py
+++ b/src/bulrushflow/targets/admission_controller.py
@@ -33,7 +33,7 @@
 ForbiddenCheck = t.Callable[[str, str], bool]
 
 
-class Gatekeeper:
+class AdmissionController:
     """Holds the target's exact slots, and refuses a call before it is sent.
 
     :param is_forbidden: tells whether a service version may get no new calls.
--- a/src/bulrushflow/targets/client.py
+++ b/src/bulrushflow/targets/client.py
@@ -6,16 +6,16 @@
 import yarl
 
 from bulrushflow.headers import CONNECTION_HEADERS
-from bulrushflow.routing import Answer
 from bulrushflow.routing import ByteBudget
 from bulrushflow.routing import Call
 from bulrushflow.routing import CallResult
+from bulrushflow.routing import Response
 from bulrushflow.routing import answer_lost
 from bulrushflow.routing import not_run
 from bulrushflow.routing import unknown
 from bulrushflow.targets.announcement import Announcement
 
-HOP_HEADERS = CONNECTION_HEADERS | {"host"}
+HOP_BY_HOP_HEADERS = CONNECTION_HEADERS | {"host"}
 REQUEST_ID_HEADER = "x-request-id"
 TENANT_HEADER = "x-tenant"
 TIMEOUT_HEADER = "x-timeout-ms"
@@ -31,7 +31,7 @@
 """
 
 _SHED_STATUSES = frozenset({429, 503})
-_DROPPED_ANSWER_HEADERS = HOP_HEADERS | {OUTCOME_HEADER}
+_DROPPED_ANSWER_HEADERS = HOP_BY_HOP_HEADERS | {OUTCOME_HEADER}
 _NO_TIMEOUT = aiohttp.ClientTimeout(total=None)
 
 
@@ -117,7 +117,7 @@
         answered = tuple(
             (k, v) for k, v in response.headers.items() if k.lower() not in _DROPPED_ANSWER_HEADERS
         )
-        return Answer(response.status, answered, body).as_result()
+        return Response(response.status, answered, body).as_result()
 
     async def _read_body(
         self, response: aiohttp.ClientResponse, expected: int | None
--- a/src/bulrushflow/targets/server.py
+++ b/src/bulrushflow/targets/server.py
@@ -3,11 +3,11 @@
 import msgspec
 from aiohttp import web
 
+from bulrushflow.targets.admission_controller import AdmissionController
 from bulrushflow.targets.announcement import Announcement
-from bulrushflow.targets.gatekeeper import Gatekeeper
 
 
-def target_application(gatekeeper: Gatekeeper) -> web.Application:
+def target_application(gatekeeper: AdmissionController) -> web.Application:
     """Return the application that takes announcements.
 
     Its answer tells the calls in flight, so that a draining target knows when it may stop.
--- a/src/bulrushflow/targets/session.py
+++ b/src/bulrushflow/targets/session.py
@@ -4,9 +4,9 @@
 
 from bulrushflow.routing import Call
 from bulrushflow.routing import CallResult
-from bulrushflow.targets.admission import Admission
 from bulrushflow.targets.announcement import Announcement
 from bulrushflow.targets.client import TargetClient
+from bulrushflow.targets.slots import SlotPool
 
 
 class TargetSession:
@@ -18,7 +18,7 @@
 
     def __init__(self, announcement: Announcement, client: TargetClient) -> None:
         self.announcement = announcement
-        self.admission = Admission(announcement.slots, announcement.connections)
+        self.admission = SlotPool(announcement.slots, announcement.connections)
         self._client = client
         self._idle = asyncio.Event()
         self._idle.set()
--- a/src/bulrushflow/targets/admission.py
+++ b/src/bulrushflow/targets/slots.py
@@ -17,7 +17,7 @@
 Refusal = str
 
 
-class Admission:
+class SlotPool:
     """Grants slots, at most as many as the target has slots and connections.
 
     An abandoned call's slot is not free when its connection is closed: the target may not have
--- a/src/bulrushflow/wire/codec.py
+++ b/src/bulrushflow/wire/codec.py
@@ -7,15 +7,15 @@
 from bulrushflow.membership import Status
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
-from bulrushflow.moves import Evidence
-from bulrushflow.moves import RouteCounts
-from bulrushflow.moves import SharedMove
-from bulrushflow.moves import empty_buckets
-from bulrushflow.routing import Answer
+from bulrushflow.rollouts import Evidence
+from bulrushflow.rollouts import RouteCounts
+from bulrushflow.rollouts import SharedRollout
+from bulrushflow.rollouts import empty_buckets
 from bulrushflow.routing import Call
 from bulrushflow.routing import CallFailure
 from bulrushflow.routing import CallResult
 from bulrushflow.routing import Outcome
+from bulrushflow.routing import Response
 from bulrushflow.wire import messages
 
 _MEMBER_BYTES = 47
@@ -82,7 +82,7 @@
     )
 
 
-def move_to_message(move: SharedMove) -> t.Any:
+def move_to_message(move: SharedRollout) -> t.Any:
     """Return the thrift message for a move's shared state."""
     return messages.MoveState(
         move=move.offset,
@@ -93,9 +93,9 @@
     )
 
 
-def move_from_message(message: t.Any) -> SharedMove:
+def move_from_message(message: t.Any) -> SharedRollout:
     """Return a move's shared state from its thrift message."""
-    return SharedMove(
+    return SharedRollout(
         message.move,
         message.share_permille,
         message.taken_back,
@@ -178,7 +178,7 @@
     if outcome is not Outcome.ANSWERED:
         return CallFailure(outcome, message.reason, bool(message.arrived)).as_result()
     headers = _headers_from_message(message.headers)
-    return Answer(message.status, headers, message.body).as_result()
+    return Response(message.status, headers, message.body).as_result()
 
 
 def record_to_message(record: LogRecord) -> t.Any:
--- a/tests/callers/test_dispatcher.py
+++ b/tests/callers/test_dispatcher.py
@@ -17,18 +17,18 @@
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
 from bulrushflow.metrics import Metrics
-from bulrushflow.moves import SharedMoves
 from bulrushflow.nodes.forwarding import LoadReport
+from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.routing import MAX_ATTEMPTS
-from bulrushflow.routing import Answer
 from bulrushflow.routing import Call
 from bulrushflow.routing import CallResult
 from bulrushflow.routing import Outcome
+from bulrushflow.routing import Response
 from bulrushflow.routing import not_run
 from bulrushflow.routing import unknown
 from tests.targets.servers import call
 
-ANSWERED = Answer(200, (), b"").as_result()
+ANSWERED = Response(200, (), b"").as_result()
 CONFIGURATION = Configuration(services_by_name={"payments": Service("payments", "v1")})
 
 
@@ -60,7 +60,7 @@
         table.merge(Member(str(i), "near", "127.0.0.1", 1, 0, target=ready), 0.0)
     rng = random.Random(1)
     other: t.Any = nodes
-    return Dispatcher(table, SharedMoves(), other, other, Metrics(10), rng)
+    return Dispatcher(table, SharedRollouts(), other, other, Metrics(10), rng)
 
 
 class DispatcherTests(unittest.IsolatedAsyncioTestCase):
--- a/tests/callers/test_server.py
+++ b/tests/callers/test_server.py
@@ -15,10 +15,10 @@
 from bulrushflow.configuration import Route
 from bulrushflow.configuration import Service
 from bulrushflow.metrics import Metrics
-from bulrushflow.routing import Answer
 from bulrushflow.routing import ByteBudget
 from bulrushflow.routing import Call
 from bulrushflow.routing import CallResult
+from bulrushflow.routing import Response
 from bulrushflow.routing import answer_lost
 from bulrushflow.routing import not_run
 from bulrushflow.routing import refused
@@ -55,7 +55,7 @@
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
-        return self.result or Answer(200, (), call.body).as_result()
+        return self.result or Response(200, (), call.body).as_result()
 
 
 class CallerServerTests(unittest.IsolatedAsyncioTestCase):
@@ -89,7 +89,7 @@
 
     async def test_outcomes_are_stated(self) -> None:
         cases: list[tuple[CallResult, int, str | None]] = [
-            (Answer(500, (), b"").as_result(), 500, None),
+            (Response(500, (), b"").as_result(), 500, None),
             (not_run(""), 503, "not-run"),
             (refused(""), 503, "not-run"),
             (unknown(""), 504, "unknown"),
@@ -138,7 +138,7 @@
         self.assertEqual(self.dispatcher.calls, [])
 
     async def test_a_caller_that_does_not_read_loses_its_connection(self) -> None:
-        large = Answer(200, (), bytes(64 << 20)).as_result()
+        large = Response(200, (), bytes(64 << 20)).as_result()
         self.dispatcher.result = large
         with mock.patch.object(server_module, "WRITE_TIMEOUT_S", 0.05):
             _, writer = await asyncio.open_connection(
--- a/tests/configuration/strategies.py
+++ b/tests/configuration/strategies.py
@@ -6,14 +6,14 @@
 from bulrushflow.configuration import Configure
 from bulrushflow.configuration import ConfigureV2
 from bulrushflow.configuration import EnableSchema
-from bulrushflow.configuration import FinishMove
+from bulrushflow.configuration import FinishRollout
 from bulrushflow.configuration import LogRecord
-from bulrushflow.configuration import RecordStep
+from bulrushflow.configuration import RecordRolloutStep
 from bulrushflow.configuration import RouteBody
 from bulrushflow.configuration import RouteBodyV2
 from bulrushflow.configuration import ServiceBody
-from bulrushflow.configuration import StartMove
-from bulrushflow.configuration import WithdrawMove
+from bulrushflow.configuration import StartRollout
+from bulrushflow.configuration import WithdrawRollout
 from bulrushflow.configuration import encode_record
 
 IDS = st.sampled_from([f"p{i}" for i in range(12)] + ["offset-3"])
@@ -57,13 +57,20 @@
         made_at=MADE_AT,
     ),
     st.builds(EnableSchema, st.just(1), IDS, OPERATORS, st.integers(1, 3)),
-    st.builds(StartMove, st.just(1), IDS, OPERATORS, SERVICES, VERSIONS, st.just(99_999)),
-    st.builds(WithdrawMove, st.just(1), IDS, OPERATORS, IDS),
+    st.builds(StartRollout, st.just(1), IDS, OPERATORS, SERVICES, VERSIONS, st.just(99_999)),
+    st.builds(WithdrawRollout, st.just(1), IDS, OPERATORS, IDS),
     st.builds(
-        RecordStep, st.just(1), IDS, IDS, st.just(10), st.just("r"), st.just("e"), st.just("n")
+        RecordRolloutStep,
+        st.just(1),
+        IDS,
+        IDS,
+        st.just(10),
+        st.just("r"),
+        st.just("e"),
+        st.just("n"),
     ),
     st.builds(
-        FinishMove, st.just(1), IDS, IDS, st.booleans(), st.just("r"), st.just("e"), st.just("n")
+        FinishRollout, st.just(1), IDS, IDS, st.booleans(), st.just("r"), st.just("e"), st.just("n")
     ),
 )
 
--- a/tests/configuration/test_fold.py
+++ b/tests/configuration/test_fold.py
@@ -5,17 +5,17 @@
 
 import msgspec
 
-from bulrushflow.configuration import EMPTY
+from bulrushflow.configuration import EMPTY_CONFIGURATION
 from bulrushflow.configuration import Configuration
 from bulrushflow.configuration import Configure
-from bulrushflow.configuration import FinishMove
+from bulrushflow.configuration import FinishRollout
 from bulrushflow.configuration import LogRecord
-from bulrushflow.configuration import MoveStatus
 from bulrushflow.configuration import Record
+from bulrushflow.configuration import RolloutStatus
 from bulrushflow.configuration import RouteBody
 from bulrushflow.configuration import ServiceBody
-from bulrushflow.configuration import StartMove
-from bulrushflow.configuration import WithdrawMove
+from bulrushflow.configuration import StartRollout
+from bulrushflow.configuration import WithdrawRollout
 from bulrushflow.configuration import encode_record
 from bulrushflow.configuration import fold
 from bulrushflow.configuration import record_digest
@@ -23,7 +23,7 @@
 
 
 def fold_all(*records: Record | bytes) -> Configuration:
-    configuration = EMPTY
+    configuration = EMPTY_CONFIGURATION
     for offset, record in enumerate(records):
         body = record if isinstance(record, bytes) else encode_record(record)
         configuration = fold(configuration, LogRecord(offset, 1000 + offset, body))
@@ -48,9 +48,9 @@
             "changed": Configure(1, "x", "ana", base={"service/plots": 7}),
             "neither": Configure(1, "x", "ana", base={"plots": 7}),
             "malformed": b"no JSON",
-            "at version": StartMove(1, "x", "ana", "plots", "v1", 99999),
-            "has passed": StartMove(1, "x", "ana", "plots", "v2", 5),
-            "unknown move": WithdrawMove(1, "x", "ana", "none"),
+            "at version": StartRollout(1, "x", "ana", "plots", "v1", 99999),
+            "has passed": StartRollout(1, "x", "ana", "plots", "v2", 5),
+            "unknown move": WithdrawRollout(1, "x", "ana", "none"),
         }
         before = fold_all(PLOTS)
         for reason, record in cases.items():
@@ -68,37 +68,37 @@
 
     def test_a_gap_is_a_broken_invariant(self) -> None:
         with self.assertRaises(InvariantError):
-            fold(EMPTY, LogRecord(1, 0, encode_record(PLOTS)))
+            fold(EMPTY_CONFIGURATION, LogRecord(1, 0, encode_record(PLOTS)))
 
     def test_the_first_final_record_of_a_move_stands(self) -> None:
-        start = StartMove(1, "m", "ana", "plots", "v2", 99999)
-        done = FinishMove(1, "m/done", "m", False, "healthy", "", "n1")
-        withdraw = WithdrawMove(1, "w", "ana", "m")
+        start = StartRollout(1, "m", "ana", "plots", "v2", 99999)
+        done = FinishRollout(1, "m/done", "m", False, "healthy", "", "n1")
+        withdraw = WithdrawRollout(1, "w", "ana", "m")
         finished = fold_all(PLOTS, start, done, withdraw)
-        self.assertEqual(finished.moves_by_id["m"].status, MoveStatus.COMPLETED)
+        self.assertEqual(finished.moves_by_id["m"].status, RolloutStatus.COMPLETED)
         self.assertEqual(finished.services_by_name["plots"].version, "v2")
         self.assertFalse(finished.verdicts_by_publish_id["w"].accepted)
         withdrawn = fold_all(PLOTS, start, withdraw, done)
-        self.assertEqual(withdrawn.moves_by_id["m"].status, MoveStatus.WITHDRAWN)
+        self.assertEqual(withdrawn.moves_by_id["m"].status, RolloutStatus.WITHDRAWN)
         self.assertEqual(withdrawn.services_by_name["plots"].version, "v1")
 
     def test_the_loser_of_a_race_is_told_who_came_first(self) -> None:
         first = Configure(1, "a", "ana", services={"plots": ServiceBody("v2")})
         base = {"service/plots": 0}
         second = Configure(1, "b", "bojan", services={"plots": ServiceBody("v3")}, base=base)
-        move = StartMove(1, "m", "ana", "plots", "v4", 99999)
+        move = StartRollout(1, "m", "ana", "plots", "v4", 99999)
         cases: dict[str, list[Record | bytes]] = {
             "offset 1 by ana came first": [PLOTS, first, second],
             "'m', stated at offset 1 by ana": [
                 PLOTS,
                 move,
-                StartMove(1, "b", "bojan", "plots", "v5", 99999),
+                StartRollout(1, "b", "bojan", "plots", "v5", 99999),
             ],
             "withdrawn already, at offset 2 by ana": [
                 PLOTS,
                 move,
-                WithdrawMove(1, "w", "ana", "m"),
-                WithdrawMove(1, "b", "bojan", "m"),
+                WithdrawRollout(1, "w", "ana", "m"),
+                WithdrawRollout(1, "b", "bojan", "m"),
             ],
         }
         for reason, records in cases.items():
@@ -116,8 +116,8 @@
 class WindowTests(unittest.TestCase):
     def test_a_repeat_from_beyond_the_window_is_rejected_not_run_again(self) -> None:
         with mock.patch("bulrushflow.configuration.fold.MAX_VERDICTS", 3):
-            move = StartMove(1, "m", "ana", "plots", "v2", 99999, made_at=0)
-            ended = WithdrawMove(1, "w", "ana", "m")
+            move = StartRollout(1, "m", "ana", "plots", "v2", 99999, made_at=0)
+            ended = WithdrawRollout(1, "w", "ana", "m")
             for others, reason in {1: "", 4: "an earlier copy may have taken effect"}.items():
                 with self.subTest(others=others):
                     noise = [Configure(1, f"n{i}", "ana") for i in range(others)]
@@ -134,7 +134,7 @@
 
     def test_a_finished_move_is_not_stated_again_when_its_verdict_is_gone(self) -> None:
         with mock.patch("bulrushflow.configuration.fold.MAX_VERDICTS", 2):
-            move = StartMove(1, "m", "ana", "plots", "v2", 99999)
+            move = StartRollout(1, "m", "ana", "plots", "v2", 99999)
             noise = [Configure(1, f"n{i}", "ana") for i in range(3)]
-            state = fold_all(PLOTS, move, WithdrawMove(1, "w", "ana", "m"), *noise, move)
-            self.assertEqual(state.moves_by_id["m"].status, MoveStatus.WITHDRAWN)
+            state = fold_all(PLOTS, move, WithdrawRollout(1, "w", "ana", "m"), *noise, move)
+            self.assertEqual(state.moves_by_id["m"].status, RolloutStatus.WITHDRAWN)
--- a/tests/configuration/test_fold_properties.py
+++ b/tests/configuration/test_fold_properties.py
@@ -8,7 +8,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from bulrushflow.configuration import EMPTY
+from bulrushflow.configuration import EMPTY_CONFIGURATION
 from bulrushflow.configuration import LogRecord
 from bulrushflow.configuration import decode_configuration
 from bulrushflow.configuration import digest
@@ -22,8 +22,8 @@
     @settings(max_examples=60)
     @given(LOGS, st.sets(st.integers(0, 30)))
     def test_page_cuts_do_not_change_the_digest(self, log: list[LogRecord], cuts: set[int]) -> None:
-        whole = fold_records(EMPTY, log).configuration
-        state = EMPTY
+        whole = fold_records(EMPTY_CONFIGURATION, log).configuration
+        state = EMPTY_CONFIGURATION
         start = 0
         for end in [*sorted(c for c in cuts if c < len(log)), len(log)]:
             state = fold_records(state, log[start:end]).configuration
@@ -35,7 +35,7 @@
     @settings(max_examples=60)
     @given(LOGS)
     def test_every_version_is_whole_and_the_next_one(self, log: list[LogRecord]) -> None:
-        state = EMPTY
+        state = EMPTY_CONFIGURATION
         for record in log:
             before = encode_configuration(state)
             after = fold(state, record)
@@ -54,7 +54,7 @@
     def test_a_rejected_or_repeated_record_changes_only_offset_and_verdicts(
         self, log: list[LogRecord]
     ) -> None:
-        state = EMPTY
+        state = EMPTY_CONFIGURATION
         for record in log:
             after = fold(state, record)
             new = [v for v in after.verdicts_by_publish_id.values() if v.offset == record.offset]
@@ -73,8 +73,8 @@
     @given(LOGS, st.integers(0, 29))
     def test_a_decoded_state_goes_on_as_the_original(self, log: list[LogRecord], cut: int) -> None:
         with mock.patch("bulrushflow.configuration.fold.MAX_VERDICTS", 5):
-            whole = fold_records(EMPTY, log).configuration
-            at_cut = fold_records(EMPTY, log[:cut]).configuration
+            whole = fold_records(EMPTY_CONFIGURATION, log).configuration
+            at_cut = fold_records(EMPTY_CONFIGURATION, log[:cut]).configuration
             restored = decode_configuration(encode_configuration(at_cut), 2).unwrap()
             rest = log[restored.offset + 1 :]
             self.assertEqual(digest(fold_records(restored, rest).configuration), digest(whole))
@@ -82,8 +82,10 @@
     @settings(max_examples=80)
     @given(LOGS)
     def test_an_older_release_agrees_up_to_where_it_stops(self, log: list[LogRecord]) -> None:
-        older = fold_records(EMPTY, log, supported=1)
-        newer = fold_records(EMPTY, log[: older.configuration.offset + 1], supported=2)
+        older = fold_records(EMPTY_CONFIGURATION, log, supported=1)
+        newer = fold_records(
+            EMPTY_CONFIGURATION, log[: older.configuration.offset + 1], supported=2
+        )
         self.assertEqual(digest(older.configuration), digest(newer.configuration))
         if older.unsupported:
             beyond = fold(newer.configuration, log[older.configuration.offset + 1])
--- a/tests/configuration/test_schemas.py
+++ b/tests/configuration/test_schemas.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bulrushflow.configuration import EMPTY
+from bulrushflow.configuration import EMPTY_CONFIGURATION
 from bulrushflow.configuration import BaseRecord
 from bulrushflow.configuration import ConfigurationStore
 from bulrushflow.configuration import Configure
@@ -40,7 +40,7 @@
 
 class SchemaTests(unittest.TestCase):
     def test_both_shapes_give_one_state(self) -> None:
-        state = fold_records(EMPTY, as_log(OLD, ENABLE, NEW)).configuration
+        state = fold_records(EMPTY_CONFIGURATION, as_log(OLD, ENABLE, NEW)).configuration
         old, new = state.routes_by_path["/plots"], state.routes_by_path["/plots/book"]
         self.assertEqual((old.timeout_ms, new.timeout_ms), (1500, 250))
         self.assertTrue(old.is_idempotent("POST"))
@@ -49,20 +49,20 @@
     def test_a_schema_above_the_level_is_rejected_by_every_release(self) -> None:
         for supported in (1, 2):
             with self.subTest(supported=supported):
-                folded = fold_records(EMPTY, as_log(OLD, NEW), supported)
+                folded = fold_records(EMPTY_CONFIGURATION, as_log(OLD, NEW), supported)
                 self.assertEqual(folded.unsupported, "")
                 verdict = folded.configuration.verdicts_by_publish_id["new"]
                 self.assertIn("unknown schema 2", verdict.reason)
 
     def test_a_kind_that_a_supported_schema_lacks_is_rejected_under_its_id(self) -> None:
-        state = fold_records(EMPTY, as_log(UNKNOWN_KIND)).configuration
+        state = fold_records(EMPTY_CONFIGURATION, as_log(UNKNOWN_KIND)).configuration
         self.assertFalse(state.verdicts_by_publish_id["later"].accepted)
 
     def test_levels_rise_by_one(self) -> None:
         for level, reason in {1: "already", 3: "does not follow", 99: "does not follow"}.items():
             with self.subTest(level=level):
                 records = as_log(EnableSchema(1, "x", "ana", level))
-                folded = fold_records(EMPTY, records, supported=1)
+                folded = fold_records(EMPTY_CONFIGURATION, records, supported=1)
                 self.assertEqual((folded.unsupported, folded.configuration.offset), ("", 0))
                 verdict = folded.configuration.verdicts_by_publish_id["x"]
                 self.assertIn(reason, verdict.reason)
--- a/tests/configuration/test_snapshots.py
+++ b/tests/configuration/test_snapshots.py
@@ -7,7 +7,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from bulrushflow.configuration import EMPTY
+from bulrushflow.configuration import EMPTY_CONFIGURATION
 from bulrushflow.configuration import ConfigurationStore
 from bulrushflow.configuration import Configure
 from bulrushflow.configuration import LogRecord
@@ -33,10 +33,10 @@
     def test_a_snapshot_and_the_rest_equal_a_full_replay(
         self, bodies: list[bytes], cut: int, lag: int
     ) -> None:
-        at_cut = fold_records(EMPTY, log_records(bodies[:cut])).configuration
+        at_cut = fold_records(EMPTY_CONFIGURATION, log_records(bodies[:cut])).configuration
         snapshot = encode_record(make_snapshot(at_cut))
         bodies = [*bodies[: cut + lag], snapshot, snapshot, *bodies[cut + lag :]]
-        whole = fold_records(EMPTY, log_records(bodies)).configuration
+        whole = fold_records(EMPTY_CONFIGURATION, log_records(bodies)).configuration
         restored = open_snapshot(make_snapshot(at_cut)).unwrap()
         rest = log_records(bodies)[restored.offset + 1 :]
         self.assertEqual(digest(fold_records(restored, rest).configuration), digest(whole))
@@ -44,11 +44,11 @@
 
 class SnapshotTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.state = fold_records(EMPTY, log_records([FIRST])).configuration
+        self.state = fold_records(EMPTY_CONFIGURATION, log_records([FIRST])).configuration
         self.snapshot = make_snapshot(self.state)
 
     def test_a_corrupt_snapshot_is_neither_opened_nor_marked(self) -> None:
-        other = make_snapshot(EMPTY)
+        other = make_snapshot(EMPTY_CONFIGURATION)
         cases = {
             "digest": msgspec.structs.replace(self.snapshot, digest="0"),
             "cut": msgspec.structs.replace(self.snapshot, state=self.snapshot.state[:-4]),
@@ -60,7 +60,9 @@
         for name, snapshot in cases.items():
             with self.subTest(name):
                 self.assertTrue(open_snapshot(snapshot).is_err())
-                folded = fold_records(EMPTY, log_records([FIRST, encode_record(snapshot)]))
+                folded = fold_records(
+                    EMPTY_CONFIGURATION, log_records([FIRST, encode_record(snapshot)])
+                )
                 self.assertEqual(folded.configuration.newest_snapshot.record_offset, -1)
                 self.assertEqual(folded.configuration.offset, 1)
 
@@ -92,6 +94,6 @@
         }
         for (count, now_ms), due in cases.items():
             with self.subTest(count=count, now_ms=now_ms):
-                state = fold_records(EMPTY, log[:count]).configuration
+                state = fold_records(EMPTY_CONFIGURATION, log[:count]).configuration
                 self.assertIs(is_snapshot_due(state, policy, now_ms), due)
-        self.assertFalse(is_snapshot_due(EMPTY, policy, 10**12))
+        self.assertFalse(is_snapshot_due(EMPTY_CONFIGURATION, policy, 10**12))
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -52,7 +52,7 @@
         store = ConfigurationStore()
         body = b"x" * 100
         with (
-            mock.patch("bulrushflow.configuration.store.MAX_HELD_BYTES", 1000),
+            mock.patch("bulrushflow.configuration.store.MAX_RETAINED_BYTES", 1000),
             mock.patch("bulrushflow.configuration.store.MAX_PAGE_BYTES", 350),
         ):
             store.apply(log_records([body] * 20))
--- a/tests/membership/test_detection.py
+++ b/tests/membership/test_detection.py
@@ -8,7 +8,7 @@
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import ProbeOrder
 from bulrushflow.membership import Status
-from bulrushflow.membership import suspicion_s
+from bulrushflow.membership import suspicion_timeout_s
 
 
 def table_of(near: int, far: int) -> MemberTable:
@@ -41,7 +41,7 @@
 
 class PatienceTests(unittest.TestCase):
     def test_suspicion_lasts_longer_in_larger_fleets(self) -> None:
-        values = [round(suspicion_s(3.0, n), 1) for n in (0, 10, 100, 4800)]
+        values = [round(suspicion_timeout_s(3.0, n), 1) for n in (0, 10, 100, 4800)]
         self.assertEqual(values, [3.0, 3.0, 6.0, 11.0])
 
     def test_doubt_rises_with_failures_and_stalls_and_falls_with_acks(self) -> None:
--- a/tests/membership/test_rendezvous.py
+++ b/tests/membership/test_rendezvous.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from bulrushflow.membership import Member
-from bulrushflow.membership import chosen
-from bulrushflow.membership import rank
+from bulrushflow.membership import is_top_ranked
+from bulrushflow.membership import rank_members
 
 
 class ChosenTests(unittest.TestCase):
@@ -18,5 +18,5 @@
         self, numbers: set[int], count: int, own: int
     ) -> None:
         members = [Member(f"n{i}", "celje-a", "127.0.0.1", 1, 1) for i in numbers]
-        first = [m.node_id for m in rank(members, "key")[:count]]
-        self.assertEqual(chosen(members, "key", f"n{own}", count), f"n{own}" in first)
+        first = [m.node_id for m in rank_members(members, "key")[:count]]
+        self.assertEqual(is_top_ranked(members, "key", f"n{own}", count), f"n{own}" in first)
--- a/tests/membership/test_news.py
+++ b/tests/membership/test_update_queue.py
@@ -6,17 +6,17 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from bulrushflow.membership import NewsQueue
-from bulrushflow.membership import Priority
-from bulrushflow.membership import transmissions
+from bulrushflow.membership import UpdatePriority
+from bulrushflow.membership import UpdateQueue
+from bulrushflow.membership import transmission_limit
 
 
 class NewsQueueTests(unittest.TestCase):
     def test_urgent_news_goes_first_and_each_item_a_bounded_number_of_times(self) -> None:
-        queue: NewsQueue[str] = NewsQueue()
-        queue.add("suspect", Priority.SUSPECT)
-        queue.add("joined", Priority.ALIVE)
-        queue.add("leaving", Priority.URGENT)
+        queue: UpdateQueue[str] = UpdateQueue()
+        queue.add("suspect", UpdatePriority.SUSPECT)
+        queue.add("joined", UpdatePriority.ALIVE)
+        queue.add("leaving", UpdatePriority.URGENT)
         first = queue.next_batch(20, lambda _: 10, 2)
         self.assertEqual(first, ["leaving", "joined"])
         told = first
@@ -25,16 +25,16 @@
         self.assertEqual(sorted(told), sorted(["leaving", "joined", "suspect"] * 2))
 
     def test_items_no_longer_known_are_dropped_untold(self) -> None:
-        queue: NewsQueue[str] = NewsQueue()
-        queue.add("gone", Priority.ALIVE)
+        queue: UpdateQueue[str] = UpdateQueue()
+        queue.add("gone", UpdatePriority.ALIVE)
         self.assertEqual(queue.next_batch(100, lambda _: 0, 9), [])
         self.assertEqual(len(queue), 0)
 
     def test_doubts_can_be_dropped_alone(self) -> None:
-        queue: NewsQueue[str] = NewsQueue()
-        for priority in Priority:
+        queue: UpdateQueue[str] = UpdateQueue()
+        for priority in UpdatePriority:
             queue.add(priority.name, priority)
-        queue.discard_from(Priority.SUSPECT)
+        queue.discard_from(UpdatePriority.SUSPECT)
         self.assertEqual(queue.next_batch(100, lambda _: 1, 1), ["URGENT", "ALIVE"])
 
     @settings(max_examples=60)
@@ -45,7 +45,7 @@
     def test_what_is_taken_fits_and_all_is_told_in_the_end(
         self, sizes: dict[int, int], budget: int
     ) -> None:
-        queue: NewsQueue[int] = NewsQueue()
+        queue: UpdateQueue[int] = UpdateQueue()
         for key in sizes:
             queue.add(key, key % 4)
         counts = dict.fromkeys(sizes, 0)
@@ -57,4 +57,4 @@
         self.assertEqual(set(counts.values()) - {3}, set())
 
     def test_transmissions_grow_with_the_logarithm(self) -> None:
-        self.assertEqual([transmissions(n) for n in (1, 10, 100, 4800)], [6, 8, 14, 26])
+        self.assertEqual([transmission_limit(n) for n in (1, 10, 100, 4800)], [6, 8, 14, 26])
--- a/tests/nodes/fleet.py
+++ b/tests/nodes/fleet.py
@@ -7,11 +7,11 @@
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Status
-from bulrushflow.moves import SharedMoves
 from bulrushflow.nodes import Gossip
 from bulrushflow.nodes.datagrams import DatagramTransport
 from bulrushflow.nodes.datagrams import Receive
 from bulrushflow.nodes.datagrams import open_udp
+from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.settings import GossipSettings
 from bulrushflow.timers import Timers
 from bulrushflow.wire import Links
@@ -102,7 +102,7 @@
         await self.links.start()
         own = Member(self.node_id, self.data_centre, "127.0.0.1", self.links.port, incarnation)
         self.table = MemberTable(own)
-        self.moves = SharedMoves()
+        self.moves = SharedRollouts()
         self.gossip = Gossip(
             self.table,
             self.moves,
--- a/tests/nodes/mesh.py
+++ b/tests/nodes/mesh.py
@@ -11,17 +11,17 @@
 from bulrushflow.configuration import Record
 from bulrushflow.configuration import RouteBody
 from bulrushflow.configuration import ServiceBody
-from bulrushflow.configuration import StartMove
+from bulrushflow.configuration import StartRollout
 from bulrushflow.configuration import encode_record
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Status
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
-from bulrushflow.membership import rank
-from bulrushflow.moves import SharedMoves
+from bulrushflow.membership import rank_members
 from bulrushflow.nodes.driving import TICK_S
-from bulrushflow.nodes.driving import MoveDriver
+from bulrushflow.nodes.driving import RolloutDriver
+from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.routing import Call
 
 OLD, NEW = "v1", "v2"
@@ -60,8 +60,8 @@
         target = Target("plots", version, TargetState.READY, 20)
         own = Member(node_id, "celje-a", "127.0.0.1", port, 1, Status.ALIVE, target)
         self.table = MemberTable(own)
-        self.shared_moves = SharedMoves()
-        self.driver = MoveDriver(
+        self.shared_moves = SharedRollouts()
+        self.driver = RolloutDriver(
             self.store,
             self.table,
             self.shared_moves,
@@ -112,12 +112,12 @@
         routes: dict[str, RouteBody | None] = {"/plots": RouteBody("plots")}
         self.append(Configure(1, "c", "ana", services=services, routes=routes))
         finish_by_ms = self.clock.wall_ms() + 1000 * SPAN_S
-        self.append(StartMove(1, "m", "ana", "plots", NEW, finish_by_ms))
+        self.append(StartRollout(1, "m", "ana", "plots", NEW, finish_by_ms))
 
     @property
     def driver(self) -> FakeNode:
         """The node that drives the move while all are alive."""
-        first = rank([node.table.own for node in self.nodes], f"move/{MOVE_OFFSET}")[0]
+        first = rank_members([node.table.own for node in self.nodes], f"move/{MOVE_OFFSET}")[0]
         return next(node for node in self.nodes if node.table.own_id == first.node_id)
 
     @property
--- a/tests/nodes/stores.py
+++ b/tests/nodes/stores.py
@@ -11,7 +11,7 @@
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Status
-from bulrushflow.membership import rank
+from bulrushflow.membership import rank_members
 from bulrushflow.metrics import Metrics
 from bulrushflow.nodes import Spreading
 from bulrushflow.recording import Log
@@ -117,7 +117,7 @@
         near = [n.table.own for n in self.nodes if n.data_centre == data_centre]
         for i in range(1000):
             own = Member(f"last{i}", data_centre, "127.0.0.1", 1, 1)
-            if rank([*near, own], "log-reader")[-1] is own:
+            if rank_members([*near, own], "log-reader")[-1] is own:
                 return await self.add(data_centre, node_id=own.node_id, **options)
         raise AssertionError("no such id")
 
--- a/tests/nodes/test_composing.py
+++ b/tests/nodes/test_composing.py
@@ -12,12 +12,12 @@
 from bulrushflow.membership import Status
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
-from bulrushflow.membership import transmissions
-from bulrushflow.moves import SharedMove
-from bulrushflow.moves import SharedMoves
+from bulrushflow.membership import transmission_limit
 from bulrushflow.nodes.composing import MAX_DATAGRAM_BYTES
 from bulrushflow.nodes.composing import Composer
 from bulrushflow.nodes.composing import Told
+from bulrushflow.rollouts import SharedRollout
+from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.wire import codec
 from bulrushflow.wire import messages
 
@@ -33,11 +33,13 @@
     st.sampled_from([Status.ALIVE, Status.SUSPECT]),
     st.none() | st.builds(Target, names, names, st.sampled_from(TargetState), st.integers(0, 99)),
 )
-moves = st.builds(SharedMove, st.integers(0, 99), st.integers(0, 1000), st.just(True), names, names)
+moves = st.builds(
+    SharedRollout, st.integers(0, 99), st.integers(0, 1000), st.just(True), names, names
+)
 
 
-def composer(own_id: str = "own") -> tuple[Composer, MemberTable, SharedMoves]:
-    table, shared = MemberTable(replace(OWN, node_id=own_id)), SharedMoves()
+def composer(own_id: str = "own") -> tuple[Composer, MemberTable, SharedRollouts]:
+    table, shared = MemberTable(replace(OWN, node_id=own_id)), SharedRollouts()
     return Composer(table, shared, lambda: 5), table, shared
 
 
@@ -51,7 +53,7 @@
     @settings(max_examples=60)
     @given(names, st.lists(members, max_size=30), st.lists(moves, max_size=20), st.booleans())
     def test_a_datagram_stays_within_its_bytes(
-        self, own_id: str, told: list[Member], shared: list[SharedMove], with_digests: bool
+        self, own_id: str, told: list[Member], shared: list[SharedRollout], with_digests: bool
     ) -> None:
         made, table, held = composer(own_id)
         for member in told:
@@ -105,7 +107,7 @@
         data = made.datagram((), Told.SUSPICIONS, ping=messages.Ping(sequence=0))
         told = messages.decode(messages.Datagram, data).unwrap().gossip.members
         self.assertEqual({m.status for m in told}, {Status.SUSPECT})
-        for _ in range(transmissions(20)):
+        for _ in range(transmission_limit(20)):
             made.note_equal()
         data = made.datagram((), ping=messages.Ping(sequence=0))
         told = messages.decode(messages.Datagram, data).unwrap().gossip.members
@@ -113,7 +115,7 @@
 
     def test_a_move_with_a_long_reason_is_told_all_the_same(self) -> None:
         made, _, shared = composer()
-        shared.merge(SharedMove(1, 10, True, "x" * 900, "own"))
+        shared.merge(SharedRollout(1, 10, True, "x" * 900, "own"))
         decoded = messages.decode(
             messages.Datagram, made.datagram((), ping=messages.Ping(sequence=0))
         ).unwrap()
