--- a/tests/nodes/test_driving.py
+++ b/tests/nodes/test_driving.py
@@ -3,9 +3,9 @@
 import typing as t
 import unittest
 
-from bulrushflow.configuration import Move
-from bulrushflow.configuration import MoveStatus
-from bulrushflow.configuration import WithdrawMove
+from bulrushflow.configuration import Rollout
+from bulrushflow.configuration import RolloutStatus
+from bulrushflow.configuration import WithdrawRollout
 from bulrushflow.membership import Member
 from bulrushflow.membership import Status
 from bulrushflow.membership import Target
@@ -45,7 +45,7 @@
 
 
 class MoveDriverTests(unittest.IsolatedAsyncioTestCase):
-    def move(self, mesh: Mesh) -> Move:
+    def move(self, mesh: Mesh) -> Rollout:
         return mesh.configuration.moves_by_id["m"]
 
     async def run_until_shared(self, mesh: Mesh) -> None:
@@ -56,7 +56,7 @@
         mesh = Mesh()
         await mesh.run(SPAN_S)
         move = self.move(mesh)
-        self.assertIs(move.status, MoveStatus.COMPLETED)
+        self.assertIs(move.status, RolloutStatus.COMPLETED)
         self.assertLess(move.finished_at_ms, move.finish_by_ms)
         shares = [step.share_permille for step in move.steps]
         self.assertEqual(shares, sorted(set(shares)))
@@ -97,7 +97,7 @@
                 self.assertEqual(mesh.new_calls, calls)
                 mesh.log_down = False
                 await mesh.run(10)
-                self.assertIs(self.move(mesh).status, MoveStatus.ROLLED_BACK)
+                self.assertIs(self.move(mesh).status, RolloutStatus.ROLLED_BACK)
                 self.assertIn("errors", self.move(mesh).reason)
 
     async def test_a_driver_that_wakes_raises_nothing_on_old_evidence(self) -> None:
@@ -121,7 +121,7 @@
         await self.run_until_shared(mesh)
         driver_dead(mesh)
         await mesh.run(SPAN_S)
-        self.assertIs(self.move(mesh).status, MoveStatus.COMPLETED)
+        self.assertIs(self.move(mesh).status, RolloutStatus.COMPLETED)
 
     async def test_two_drivers_at_once_leave_one_account(self) -> None:
         mesh = Mesh()
@@ -129,7 +129,7 @@
         second.table.raise_status(mesh.driver.table.own_id, Status.DEAD, 0.0)
         await mesh.run(SPAN_S)
         move = self.move(mesh)
-        self.assertIs(move.status, MoveStatus.COMPLETED)
+        self.assertIs(move.status, RolloutStatus.COMPLETED)
         shares = [step.share_permille for step in move.steps]
         self.assertEqual(len(shares), len(set(shares)))
 
@@ -145,7 +145,7 @@
         driver = mesh.driver
         mesh.nodes.sort(key=lambda node: node is not driver)
         await mesh.run(10)
-        self.assertIs(self.move(mesh).status, MoveStatus.ROLLED_BACK)
+        self.assertIs(self.move(mesh).status, RolloutStatus.ROLLED_BACK)
 
     async def test_a_move_without_ready_targets_is_told_early_and_taken_back(self) -> None:
         mesh = Mesh(new_nodes=0)
@@ -153,7 +153,7 @@
         step = self.move(mesh).steps[0]
         self.assertIn("at risk: no ready target", step.rule)
         await mesh.run(SPAN_S)
-        self.assertIs(self.move(mesh).status, MoveStatus.ROLLED_BACK)
+        self.assertIs(self.move(mesh).status, RolloutStatus.ROLLED_BACK)
         self.assertIn("deadline", self.move(mesh).reason)
 
     async def test_missing_evidence_is_told_before_the_deadline(self) -> None:
@@ -168,13 +168,13 @@
         mesh = Mesh()
         await self.run_until_shared(mesh)
         mesh.driver.paused = True
-        mesh.append(WithdrawMove(1, "w", "ana", "m", "wrong build"))
+        mesh.append(WithdrawRollout(1, "w", "ana", "m", "wrong build"))
         calls = mesh.new_calls
         await mesh.run(5)
         mesh.driver.paused = False
         await mesh.run(5)
         self.assertEqual(mesh.new_calls, calls)
-        self.assertIs(self.move(mesh).status, MoveStatus.WITHDRAWN)
+        self.assertIs(self.move(mesh).status, RolloutStatus.WITHDRAWN)
 
     async def test_one_unreachable_receiver_does_not_hold_up_the_others(self) -> None:
         mesh = Mesh()
@@ -187,7 +187,7 @@
 
     async def test_after_done_the_old_version_is_refused_only_after_a_while(self) -> None:
         mesh = Mesh()
-        while self.move(mesh).status is MoveStatus.ACTIVE:
+        while self.move(mesh).status is RolloutStatus.ACTIVE:
             await mesh.run(0.25)
         node = mesh.nodes[0]
         self.assertFalse(node.driver.is_forbidden("plots", OLD))
--- a/tests/nodes/test_forwarding.py
+++ b/tests/nodes/test_forwarding.py
@@ -7,10 +7,10 @@
 from bulrushflow.membership import Member
 from bulrushflow.nodes import Forwarding
 from bulrushflow.nodes.forwarding import MAX_ANSWER_MARGIN_S
-from bulrushflow.routing import Answer
 from bulrushflow.routing import Call
 from bulrushflow.routing import CallResult
 from bulrushflow.routing import Outcome
+from bulrushflow.routing import Response
 from bulrushflow.routing import answer_lost
 from bulrushflow.routing import not_run
 from bulrushflow.timers import Timers
@@ -29,10 +29,12 @@
     def __init__(self) -> None:
         self.calls: list[Call] = []
         self.cancelled = 0
-        self.result: CallResult | None = Answer(200, (("note", "caf\udce9"),), b"\xff").as_result()
+        self.result: CallResult | None = Response(
+            200, (("note", "caf\udce9"),), b"\xff"
+        ).as_result()
 
     async def run(self, call: Call) -> CallResult:
-        """See :class:`Gatekeeper`."""
+        """See :class:`AdmissionController`."""
         self.calls.append(call)
         if self.result is not None:
             return self.result
--- a/tests/nodes/test_gossip.py
+++ b/tests/nodes/test_gossip.py
@@ -7,7 +7,7 @@
 from bulrushflow.membership import Status
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
-from bulrushflow.moves import SharedMove
+from bulrushflow.rollouts import SharedRollout
 from tests.nodes.fleet import IDLE
 from tests.nodes.fleet import Fleet
 from tests.nodes.fleet import Peer
@@ -45,7 +45,7 @@
     async def test_a_move_that_changed_reaches_all_and_later_joiners(self) -> None:
         peers = await self.start(3)
         for offset in range(40):
-            peers[0].moves.merge(SharedMove(offset, 250, True, "errors" * 20, "celje-a-0"))
+            peers[0].moves.merge(SharedRollout(offset, 250, True, "errors" * 20, "celje-a-0"))
         peers[0].gossip.spread_now()
         await until(lambda: all(len(p.moves.by_offset) == 40 for p in peers))
         late = await self.fleet.add("late")
--- a/tests/nodes/test_reporting.py
+++ b/tests/nodes/test_reporting.py
@@ -8,10 +8,8 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from bulrushflow.configuration import Move
+from bulrushflow.configuration import Rollout
 from bulrushflow.membership import Member
-from bulrushflow.moves import Evidence
-from bulrushflow.moves import EvidenceBook
 from bulrushflow.nodes.driving import TICK_S
 from bulrushflow.nodes.evidence_freshness import FRESH_S
 from bulrushflow.nodes.reporting import BUDGET_BYTES_PER_S
@@ -21,10 +19,12 @@
 from bulrushflow.nodes.reporting import UNCHANGED_REPORT_S
 from bulrushflow.nodes.reporting import Reporting
 from bulrushflow.nodes.reporting import report_limits
+from bulrushflow.rollouts import Evidence
+from bulrushflow.rollouts import EvidenceStore
 from bulrushflow.wire import codec
 from bulrushflow.wire import messages
 
-MOVE = Move("m", 7, "plots", "v1", "v2", 0, 60_000, "ana")
+MOVE = Rollout("m", 7, "plots", "v1", "v2", 0, 60_000, "ana")
 GROUP = [Member(f"n{i}", "celje-a", "127.0.0.1", 1 + i, 1) for i in range(30)]
 
 
@@ -55,7 +55,7 @@
         self.assertLess(max(LARGE_REPORT_S, UNCHANGED_REPORT_S) + TICK_S, FRESH_S)
 
     async def test_an_unreachable_receiver_holds_up_no_other(self) -> None:
-        book = EvidenceBook("n0", 1)
+        book = EvidenceStore("n0", 1)
         book.local(7).observe("v2", "/dues", False, 0.01)
         sender = StuckSender(0)
         reporting = Reporting(book, "n0", sender)
@@ -79,7 +79,7 @@
 
     async def test_unchanged_evidence_is_repeated_seldom(self) -> None:
         sender = StuckSender(0)
-        reporting = Reporting(EvidenceBook("n0", 1), "n0", sender)
+        reporting = Reporting(EvidenceStore("n0", 1), "n0", sender)
         for i in range(40):
             reporting.report(MOVE, GROUP[:2], i * UNCHANGED_REPORT_S / 10)
             await asyncio.sleep(0)
@@ -97,7 +97,7 @@
         self.assertEqual(codec.evidence_from_message(decoded), evidence)
 
     def test_a_report_with_an_unknown_bucket_is_passed_over(self) -> None:
-        book = EvidenceBook("n0", 1)
+        book = EvidenceStore("n0", 1)
         route = messages.RouteEvidence(
             version="v2", route="/a", calls=1, errors=0, sparse_buckets=[99, 1]
         )
--- a/tests/nodes/test_spreading.py
+++ b/tests/nodes/test_spreading.py
@@ -88,7 +88,7 @@
         for node in nodes:
             node.ahead_s += 60.0
         self.assertFalse(any(node.spreading.caught_up for node in nodes))
-        with mock.patch("bulrushflow.configuration.freshness.MANY_TRUSTED_AFTER_S", 0.1):
+        with mock.patch("bulrushflow.configuration.freshness.CHECKING_PEERS_ACCEPTED_AFTER_S", 0.1):
             await until(self.all_caught_up)
 
     async def test_a_log_that_lost_its_tail_moves_no_node_back(self) -> None:
@@ -149,7 +149,7 @@
 
 class PullServerTests(FleetTestCase):
     async def test_a_node_far_behind_gets_the_state_and_the_rest_in_pages(self) -> None:
-        with mock.patch("bulrushflow.configuration.store.MAX_HELD_RECORDS", 5):
+        with mock.patch("bulrushflow.configuration.store.MAX_RETAINED_RECORDS", 5):
             for number in range(30):
                 self.log.add(change(number))
             await self.add_all("celje-a", "celje-a")
--- a/tests/nodes/test_synchronizing.py
+++ b/tests/nodes/test_synchronizing.py
@@ -7,11 +7,11 @@
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Status
-from bulrushflow.moves import SharedMoves
 from bulrushflow.nodes.composing import Composer
 from bulrushflow.nodes.synchronizing import MAX_DATAGRAMS
 from bulrushflow.nodes.synchronizing import WHOLE_TABLE_MEMBERS
 from bulrushflow.nodes.synchronizing import Synchronizer
+from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.timers import Timers
 from bulrushflow.wire.links import Endpoint
 
@@ -29,7 +29,7 @@
         for i in members:
             self.table.merge(Member(f"n{i}", "celje-a", "127.0.0.1", 2, 1), 0.0)
         timers = Timers(random.Random(1), lambda: self.now)
-        composer = Composer(self.table, SharedMoves(), lambda: 0)
+        composer = Composer(self.table, SharedRollouts(), lambda: 0)
         rng = random.Random(1)
         self.synchronizer = Synchronizer(
             self.table, composer, timers, 0.5, rng, self._send, self.fetched.append
--- a/tests/operators/test_documents.py
+++ b/tests/operators/test_documents.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from bulrushflow.configuration import EMPTY
+from bulrushflow.configuration import EMPTY_CONFIGURATION
 from bulrushflow.configuration import Configuration
 from bulrushflow.configuration import Configure
 from bulrushflow.configuration import ConfigureV2
@@ -34,7 +34,7 @@
         return load_document(self.path, "p", "ana").unwrap()
 
     def in_force(self, text: str) -> Configuration:
-        return fold(EMPTY, LogRecord(0, NOW_MS, encode_record(self.load(text))))
+        return fold(EMPTY_CONFIGURATION, LogRecord(0, NOW_MS, encode_record(self.load(text))))
 
     def test_faults_are_told_with_their_place(self) -> None:
         cases = {
@@ -67,7 +67,9 @@
         self.assertEqual(tried.differences, [])
 
     def test_routes_by_method_survive_the_way_through_a_document(self) -> None:
-        enabled = fold(EMPTY, LogRecord(0, NOW_MS, encode_record(EnableSchema(1, "e", "ana", 2))))
+        enabled = fold(
+            EMPTY_CONFIGURATION, LogRecord(0, NOW_MS, encode_record(EnableSchema(1, "e", "ana", 2)))
+        )
         record = self.load(
             '{"schema": 2, "services": {"plots": {"version": "v1"}}, "routes": {"/p":'
             ' {"service": "plots", "timeout_s": 1.5, "idempotent_methods": ["PUT"]}}}'
--- a/tests/operators/test_endpoint.py
+++ b/tests/operators/test_endpoint.py
@@ -3,18 +3,18 @@
 import time
 import typing as t
 
-from bulrushflow.configuration import EMPTY
+from bulrushflow.configuration import EMPTY_CONFIGURATION
 from bulrushflow.configuration import Configure
-from bulrushflow.configuration import FinishMove
+from bulrushflow.configuration import FinishRollout
 from bulrushflow.configuration import RouteBody
 from bulrushflow.configuration import ServiceBody
-from bulrushflow.configuration import StartMove
+from bulrushflow.configuration import StartRollout
 from bulrushflow.configuration import decode_record
 from bulrushflow.configuration import encode_record
-from bulrushflow.moves import SharedMove
 from bulrushflow.operators.client import OperatorClient
 from bulrushflow.operators.incidents import account_since
 from bulrushflow.recording import CONFIGURATION_STREAM
+from bulrushflow.rollouts import SharedRollout
 from tests.operators.nodes import NodeTestCase
 
 PLOTS = Configure(
@@ -23,9 +23,9 @@
 DANGLING = Configure(1, "p2", "bor", routes={"/dues": RouteBody("dues")})
 
 
-def start_move() -> StartMove:
+def start_move() -> StartRollout:
     finish_by_ms = time.time_ns() // 1_000_000 + 3_600_000
-    return StartMove(1, "m", "ana", "plots", "v2", finish_by_ms)
+    return StartRollout(1, "m", "ana", "plots", "v2", finish_by_ms)
 
 
 class ReadyTests(NodeTestCase):
@@ -77,7 +77,7 @@
     async def test_metrics_tell_the_node_s_state(self) -> None:
         (await self.client.publish(PLOTS)).unwrap()
         self.log.faults.down = True
-        final = FinishMove(1, "m/done", "m", False, "healthy", "", "celje-a-1")
+        final = FinishRollout(1, "m/done", "m", False, "healthy", "", "celje-a-1")
         self.node.recorder.submit(final)
         _, body = await self.get("/metrics")
         for line in (
@@ -94,8 +94,8 @@
         (await self.client.publish(PLOTS)).unwrap()
         verdict = (await self.client.publish(start_move())).unwrap()
         self.log.faults.down = True
-        self.node.shared_moves.merge(SharedMove(verdict.offset, 10, True, "errors", "velenje-1"))
-        final = FinishMove(1, "m/taken-back", "m", True, "errors", "9 of 10", "velenje-1")
+        self.node.shared_moves.merge(SharedRollout(verdict.offset, 10, True, "errors", "velenje-1"))
+        final = FinishRollout(1, "m/taken-back", "m", True, "errors", "9 of 10", "velenje-1")
         self.node.recorder.submit(final)
         unrecorded = await self.get_json("/unrecorded")
         self.assertEqual(unrecorded["node_id"], "celje-a-1")
@@ -135,6 +135,6 @@
         self.assertEqual(account.first_offset, 2)
         self.assertEqual([e.verdict for e in account.events], ["accepted"])
         self.assertIn("no records before offset 2", account.notes[0])
-        self.node.store.current = EMPTY
+        self.node.store.current = EMPTY_CONFIGURATION
         reason = (await account_since(self.client, 0, 1)).unwrap_err()
         self.assertIn("the node holds only version -1", reason)
--- a/tests/operators/test_history.py
+++ b/tests/operators/test_history.py
@@ -5,17 +5,17 @@
 from hypothesis import given
 from hypothesis import settings
 
-from bulrushflow.configuration import EMPTY
+from bulrushflow.configuration import EMPTY_CONFIGURATION
 from bulrushflow.configuration import Configure
 from bulrushflow.configuration import EnableSchema
-from bulrushflow.configuration import FinishMove
+from bulrushflow.configuration import FinishRollout
 from bulrushflow.configuration import LogRecord
 from bulrushflow.configuration import Record
-from bulrushflow.configuration import RecordStep
+from bulrushflow.configuration import RecordRolloutStep
 from bulrushflow.configuration import RouteBody
 from bulrushflow.configuration import ServiceBody
-from bulrushflow.configuration import StartMove
-from bulrushflow.configuration import WithdrawMove
+from bulrushflow.configuration import StartRollout
+from bulrushflow.configuration import WithdrawRollout
 from bulrushflow.configuration import digest
 from bulrushflow.configuration import encode_record
 from bulrushflow.configuration import fold_records
@@ -28,11 +28,11 @@
 )
 DANGLING = Configure(1, "p2", "bor", routes={"/dues": RouteBody("dues")})
 BAD_BODY = b'{"schema": 1, "publish_id": "b", "kind": "configure", "operator": "ana", "x": 1}'
-START = StartMove(1, "m", "ana", "plots", "v2", 99_999)
-STEP = RecordStep(1, "m/step/10", "m", 10, "first step", "0 calls", "celje-1")
-DONE = FinishMove(1, "m/done", "m", False, "no fault", "900 calls", "celje-1")
-BACK = FinishMove(1, "m/taken-back", "m", True, "errors", "9 of 10 failed", "celje-2")
-WITHDRAW = WithdrawMove(1, "w", "bor", "m", "wrong version")
+START = StartRollout(1, "m", "ana", "plots", "v2", 99_999)
+STEP = RecordRolloutStep(1, "m/step/10", "m", 10, "first step", "0 calls", "celje-1")
+DONE = FinishRollout(1, "m/done", "m", False, "no fault", "900 calls", "celje-1")
+BACK = FinishRollout(1, "m/taken-back", "m", True, "errors", "9 of 10 failed", "celje-2")
+WITHDRAW = WithdrawRollout(1, "w", "bor", "m", "wrong version")
 
 
 def log_records(*records: Record | bytes) -> list[LogRecord]:
@@ -41,7 +41,7 @@
 
 
 def events(*records: Record | bytes) -> list[Event]:
-    history = History(EMPTY)
+    history = History(EMPTY_CONFIGURATION)
     for record in log_records(*records):
         history.take(record)
     return history.events()
@@ -93,7 +93,7 @@
 
     def test_records_before_the_first_known_state_keep_the_verdicts_it_remembers(self) -> None:
         records = log_records(PLOTS, DANGLING, START)
-        whole = History(EMPTY)
+        whole = History(EMPTY_CONFIGURATION)
         for record in records[:2]:
             whole.take(record)
         late = History(whole.configuration)
@@ -108,10 +108,10 @@
     @settings(max_examples=60)
     @given(LOGS)
     def test_what_is_told_agrees_with_what_nodes_hold(self, log: list[LogRecord]) -> None:
-        history = History(EMPTY)
+        history = History(EMPTY_CONFIGURATION)
         for record in log:
             history.take(record)
-        folded = fold_records(EMPTY, log)
+        folded = fold_records(EMPTY_CONFIGURATION, log)
         held = folded.configuration
         self.assertEqual(digest(history.configuration), digest(held))
         verdicts_by_offset = {v.offset: v for v in held.verdicts_by_publish_id.values()}
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -7,11 +7,11 @@
 
 from bulrushflow.platform.documents import decode_announcement
 from bulrushflow.platform.documents import decode_configuration
-from bulrushflow.platform.documents import decode_order
+from bulrushflow.platform.documents import decode_rollout_order
 from bulrushflow.platform.documents import decode_status
 from bulrushflow.platform.documents import encode_status
-from bulrushflow.sidecar.model import MovePhase
-from bulrushflow.sidecar.model import MoveStatus
+from bulrushflow.sidecar.model import RolloutPhase
+from bulrushflow.sidecar.model import RolloutStatus
 from bulrushflow.sidecar.model import TargetState
 
 
@@ -95,7 +95,7 @@
     @given(st.binary(max_size=200))
     def test_any_bytes_are_decoded_or_refused(self, data: bytes) -> None:
         decode_configuration(data)
-        decode_order("rollout/s1", data, 1)
+        decode_rollout_order("rollout/s1", data, 1)
         decode_announcement("i", data)
         decode_status(data)
 
@@ -129,18 +129,18 @@
 class MoveDocumentTests(unittest.TestCase):
     def test_an_order_is_decoded(self) -> None:
         data = b'{"service":"s1","targetVersion":"v2","duration":"12s"}'
-        order = decode_order("rollout/s1", data, 5).unwrap()
+        order = decode_rollout_order("rollout/s1", data, 5).unwrap()
         self.assertEqual((order.to_version, order.duration_s, order.order_id), ("v2", 12.0, 5))
-        self.assertTrue(decode_order("rollout/other", data, 5).is_err())
+        self.assertTrue(decode_rollout_order("rollout/other", data, 5).is_err())
 
     def test_a_status_is_read_back_and_shows_the_operators_words(self) -> None:
         words = {
-            MovePhase.RUNNING: "running",
-            MovePhase.COMPLETED: "completed",
-            MovePhase.ROLLED_BACK: "rolled_back",
+            RolloutPhase.RUNNING: "running",
+            RolloutPhase.COMPLETED: "completed",
+            RolloutPhase.ROLLED_BACK: "rolled_back",
         }
         for phase, word in words.items():
-            status = MoveStatus("s1", "v2", 5, 3, 100, phase, 1, 2, "why", "n-1")
+            status = RolloutStatus("s1", "v2", 5, 3, 100, phase, 1, 2, "why", "n-1")
             data = encode_status(status)
             self.assertEqual(json.loads(data)["state"], word)
             self.assertEqual(json.loads(data)["targetVersion"], "v2")
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,7 +1,7 @@
 import unittest
 
 from bulrushflow.platform.settings import decode_settings
-from bulrushflow.platform.settings import seconds
+from bulrushflow.platform.settings import parse_duration
 from bulrushflow.sidecar.settings import Endpoint
 
 FILE = """
@@ -57,7 +57,7 @@
         self.assertTrue(decode_settings(b"\xff\xfe").is_err())
 
     def test_times_are_seconds(self) -> None:
-        self.assertEqual((seconds("1500ms"), seconds("2.5s")), (1.5, 2.5))
+        self.assertEqual((parse_duration("1500ms"), parse_duration("2.5s")), (1.5, 2.5))
         for text in ("5", "", "-1s", None, 3):
             with self.assertRaises(ValueError):
-                seconds(text)
+                parse_duration(text)
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from bulrushflow.configuration import MoveStatus
-from bulrushflow.configuration import StartMove
+from bulrushflow.configuration import RolloutStatus
+from bulrushflow.configuration import StartRollout
 from bulrushflow.operators.client import OperatorClient
 from bulrushflow.operators.incidents import IncidentAccount
 from bulrushflow.operators.incidents import account_since
@@ -26,7 +26,7 @@
         await fleet.start_pair("new", "celje-a", "plots", "v2")
         await fleet.wait_ready(3)
         finish_by_ms = time.time_ns() // 1_000_000 + FINISH_AFTER_MS
-        start = StartMove(1, "m", "ana", "plots", "v2", finish_by_ms)
+        start = StartRollout(1, "m", "ana", "plots", "v2", finish_by_ms)
         self.assertTrue((await fleet.publish(start)).accepted)
         await self.call_until(self.shares_calls)
         await fleet.set_log_faults(down=True)
@@ -40,7 +40,7 @@
 
         async def recorded() -> bool:
             moves = [await self.move(node.operator_url) for node in fleet.nodes]
-            return all(m.move.status is MoveStatus.ROLLED_BACK for m in moves)
+            return all(m.move.status is RolloutStatus.ROLLED_BACK for m in moves)
 
         await until(recorded, "the take-back on the log and on every node")
         account = await self.account()
--- a/tests/processes/test_racing_operators.py
+++ b/tests/processes/test_racing_operators.py
@@ -4,11 +4,11 @@
 import time
 
 from bulrushflow.configuration import Configure
-from bulrushflow.configuration import FinishMove
+from bulrushflow.configuration import FinishRollout
 from bulrushflow.configuration import Record
 from bulrushflow.configuration import ServiceBody
-from bulrushflow.configuration import StartMove
-from bulrushflow.configuration import WithdrawMove
+from bulrushflow.configuration import StartRollout
+from bulrushflow.configuration import WithdrawRollout
 from tests.processes.fleet import PLOTS_AND_PAYMENTS
 from tests.processes.fleet import FleetTestCase
 
@@ -44,7 +44,8 @@
         ]
         finish_by_ms = time.time_ns() // 1_000_000 + FINISH_AFTER_MS
         moves = [
-            StartMove(1, f"move-{who}", who, "plots", "v2", finish_by_ms) for who in ("ana", "bor")
+            StartRollout(1, f"move-{who}", who, "plots", "v2", finish_by_ms)
+            for who in ("ana", "bor")
         ]
         with self.subTest("two publishes on one base"):
             await self.assert_one_wins("changed", *publishes)
@@ -56,6 +57,6 @@
         with self.subTest("a withdrawal and the final record"):
             await self.assert_one_wins(
                 "already",
-                WithdrawMove(1, "withdrawal", "ana", won.publish_id),
-                FinishMove(1, "final", won.publish_id, True, "faulty", "test", "velenje-2"),
+                WithdrawRollout(1, "withdrawal", "ana", won.publish_id),
+                FinishRollout(1, "final", won.publish_id, True, "faulty", "test", "velenje-2"),
             )
--- a/tests/recording/test_recorder.py
+++ b/tests/recording/test_recorder.py
@@ -5,14 +5,14 @@
 import unittest
 
 from bulrushflow.configuration import ConfigurationStore
-from bulrushflow.configuration import FinishMove
+from bulrushflow.configuration import FinishRollout
 from bulrushflow.recording import LogError
 from bulrushflow.recording import LogErrorKind
 from bulrushflow.recording import Recorder
 from tests.recording.fakes import MemoryLog
 from tests.waiting import until
 
-FINISH = FinishMove(1, "m/done", "m", False, "healthy", "", "n1")
+FINISH = FinishRollout(1, "m/done", "m", False, "healthy", "", "n1")
 
 
 class RecorderTests(unittest.IsolatedAsyncioTestCase):
@@ -31,7 +31,7 @@
         for name, errors in cases.items():
             with self.subTest(name):
                 self.log.errors = list(errors)
-                record = FinishMove(1, name, "m", False, "healthy", "", "n1")
+                record = FinishRollout(1, name, "m", False, "healthy", "", "n1")
                 self.recorder.submit(record)
                 self.recorder.submit(record)
                 await until(lambda: not self.recorder.unrecorded())
@@ -49,7 +49,7 @@
         await until(lambda: not self.recorder.unrecorded())
         # The next record must not wait behind the one that is known by now.
         self.log.down = False
-        self.recorder.submit(FinishMove(1, "other", "m", False, "healthy", "", "n1"))
+        self.recorder.submit(FinishRollout(1, "other", "m", False, "healthy", "", "n1"))
         await until(lambda: not self.recorder.unrecorded())
         self.assertEqual(len(self.log.records), 2)
 
--- a/tests/recording/test_recovery.py
+++ b/tests/recording/test_recovery.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from bulrushflow.configuration import EMPTY
+from bulrushflow.configuration import EMPTY_CONFIGURATION
 from bulrushflow.configuration import Configure
 from bulrushflow.configuration import ServiceBody
 from bulrushflow.configuration import digest
@@ -27,7 +27,7 @@
         if offset not in at:
             log.add(change(offset))
             continue
-        snapshot = make_snapshot(fold_records(EMPTY, log.records).configuration)
+        snapshot = make_snapshot(fold_records(EMPTY_CONFIGURATION, log.records).configuration)
         if offset == corrupt:
             snapshot = msgspec.structs.replace(snapshot, digest="0")
         log.add(encode_record(snapshot))
@@ -45,7 +45,7 @@
         }
         for name, (log, first, snapshot_offset) in cases.items():
             with self.subTest(name):
-                whole = fold_records(EMPTY, log.records).configuration
+                whole = fold_records(EMPTY_CONFIGURATION, log.records).configuration
                 del log.records[:first]
                 found = (await recover(log, -1, first, 8)).unwrap()
                 self.assertEqual(found.configuration.offset, snapshot_offset)
--- a/tests/moves/samples.py
+++ b/tests/rollouts/samples.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-from bulrushflow.moves import RouteCounts
-from bulrushflow.moves import VersionRoute
+from bulrushflow.rollouts import RouteCounts
+from bulrushflow.rollouts import VersionRoute
 
 OLD = "v1"
 NEW = "v2"
--- a/tests/moves/test_verdict.py
+++ b/tests/rollouts/test_analysis.py
@@ -3,11 +3,11 @@
 import typing as t
 import unittest
 
-from bulrushflow.moves import Judge
-from bulrushflow.moves import Judgement
-from tests.moves.samples import NEW
-from tests.moves.samples import OLD
-from tests.moves.samples import Totals
+from bulrushflow.rollouts import AnalysisOutcome
+from bulrushflow.rollouts import CanaryAnalysis
+from tests.rollouts.samples import NEW
+from tests.rollouts.samples import OLD
+from tests.rollouts.samples import Totals
 
 Step = t.Callable[[Totals], None]
 
@@ -61,9 +61,9 @@
     totals.add(NEW, 10, errors=9)
 
 
-def run_steps(*steps: tuple[Step, int]) -> tuple[Judgement, str, int]:
+def run_steps(*steps: tuple[Step, int]) -> tuple[AnalysisOutcome, str, int]:
     """Judge after each half second; stop at a fault. Also return the half seconds gone."""
-    judge = Judge(OLD, NEW, 0.0)
+    judge = CanaryAnalysis(OLD, NEW, 0.0)
     totals = Totals()
     tick = 0
     for step, count in steps:
@@ -71,7 +71,7 @@
             tick += 1
             step(totals)
             verdict = judge.update(totals.counts, 100, tick / 2)
-            if verdict.outcome is Judgement.FAULTY:
+            if verdict.outcome is AnalysisOutcome.FAULTY:
                 return verdict.outcome, verdict.rule, tick
     return verdict.outcome, verdict.rule, tick
 
@@ -90,7 +90,7 @@
         for name, (steps, rule) in cases.items():
             with self.subTest(name):
                 judgement, found, _ = run_steps(*steps)
-                self.assertIs(judgement, Judgement.FAULTY)
+                self.assertIs(judgement, AnalysisOutcome.FAULTY)
                 self.assertIn(rule, found)
 
     def test_a_fault_that_begins_late_is_told_as_soon_as_an_early_one(self) -> None:
@@ -109,23 +109,23 @@
         for name, steps in cases.items():
             with self.subTest(name):
                 judgement, _, _ = run_steps(*steps)
-                self.assertIs(judgement, Judgement.HEALTHY)
+                self.assertIs(judgement, AnalysisOutcome.HEALTHY)
 
     def test_a_stage_needs_calls_on_each_route_with_traffic(self) -> None:
-        judge = Judge(OLD, NEW, 0.0)
+        judge = CanaryAnalysis(OLD, NEW, 0.0)
         totals = Totals()
         judge.update(totals.counts, 100, 0.5)
         totals.add(OLD, 100)
         totals.add(OLD, 100, route="/yearly")
         totals.add(NEW, 100)
         verdict = judge.update(totals.counts, 100, 1.0)
-        self.assertIs(verdict.outcome, Judgement.INSUFFICIENT)
+        self.assertIs(verdict.outcome, AnalysisOutcome.INSUFFICIENT)
         self.assertIn("/yearly", verdict.evidence)
 
     def test_calls_before_the_share_was_raised_do_not_count_for_the_stage(self) -> None:
-        judge = Judge(OLD, NEW, 0.0)
+        judge = CanaryAnalysis(OLD, NEW, 0.0)
         totals = Totals()
         totals.add(OLD, 100)
         totals.add(NEW, 100)
-        self.assertIs(judge.update(totals.counts, 0, 1.0).outcome, Judgement.HEALTHY)
+        self.assertIs(judge.update(totals.counts, 0, 1.0).outcome, AnalysisOutcome.HEALTHY)
         self.assertEqual(judge.update(totals.counts, 500, 2.0).stage_calls, 0)
--- a/tests/moves/test_evidence.py
+++ b/tests/rollouts/test_evidence.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from bulrushflow.moves import Evidence
-from bulrushflow.moves import EvidenceBook
-from bulrushflow.moves import WarmUp
-from bulrushflow.moves.evidence import MAX_ROUTES
-from bulrushflow.moves.warmup import WARM_UP_CALLS
-from bulrushflow.moves.warmup import WARM_UP_S
+from bulrushflow.rollouts import Evidence
+from bulrushflow.rollouts import EvidenceStore
+from bulrushflow.rollouts import WarmUp
+from bulrushflow.rollouts.evidence import MAX_ROUTES
+from bulrushflow.rollouts.warmup import WARM_UP_CALLS
+from bulrushflow.rollouts.warmup import WARM_UP_S
 
 
 def evidence(node_id: str, calls: int, incarnation: int = 1) -> Evidence:
@@ -19,19 +19,19 @@
 
 class EvidenceBookTests(unittest.TestCase):
     def test_late_and_doubled_reports_change_nothing(self) -> None:
-        book = EvidenceBook("n1", 1)
+        book = EvidenceStore("n1", 1)
         for calls in (5, 9, 5, 9):
             book.merge(evidence("n2", calls), 1.0)
         self.assertEqual(book.totals(7)["v2", "/dues"].calls, 9)
 
     def test_a_restarted_node_adds_to_what_it_counted_before(self) -> None:
-        book = EvidenceBook("n1", 1)
+        book = EvidenceStore("n1", 1)
         book.merge(evidence("n2", 9, incarnation=1), 1.0)
         book.merge(evidence("n2", 2, incarnation=2), 2.0)
         self.assertEqual(book.totals(7)["v2", "/dues"].calls, 11)
 
     def test_own_evidence_is_not_taken_from_others(self) -> None:
-        book = EvidenceBook("n1", 1)
+        book = EvidenceStore("n1", 1)
         book.merge(evidence("n1", 50, incarnation=1), 1.0)
         self.assertEqual(book.totals(7), {})
 
@@ -44,7 +44,7 @@
         self.assertEqual(calls, 3 * MAX_ROUTES)
 
     def test_finished_moves_are_dropped(self) -> None:
-        book = EvidenceBook("n1", 1)
+        book = EvidenceStore("n1", 1)
         book.merge(evidence("n2", 9), 1.0)
         book.retain({8})
         self.assertEqual(book.by_rollout, {})
--- a/tests/moves/test_sequential.py
+++ b/tests/rollouts/test_sequential.py
@@ -3,8 +3,8 @@
 import random
 import unittest
 
-from bulrushflow.moves.sequential import ChangeDetector
-from bulrushflow.moves.sequential import Sample
+from bulrushflow.rollouts.sequential import ChangeDetector
+from bulrushflow.rollouts.sequential import Sample
 
 
 def sample(rng: random.Random, calls: int, rate: float) -> Sample:
--- a/tests/moves/test_shared.py
+++ b/tests/rollouts/test_shared.py
@@ -9,27 +9,27 @@
 from hypothesis.stateful import invariant
 from hypothesis.stateful import rule
 
-from bulrushflow.moves import SharedMove
-from bulrushflow.moves import SharedMoves
+from bulrushflow.rollouts import SharedRollout
+from bulrushflow.rollouts import SharedRollouts
 
 OFFSET = 3
 VIEWS = 4
 
 
 @st.composite
-def states(draw: st.DrawFn) -> SharedMove:
+def states(draw: st.DrawFn) -> SharedRollout:
     share = draw(st.integers(0, 1000))
     if not draw(st.booleans()):
-        return SharedMove(OFFSET, share)
+        return SharedRollout(OFFSET, share)
     reason, node_id = draw(st.sampled_from("ab")), draw(st.sampled_from("xy"))
-    return SharedMove(OFFSET, share, True, reason, node_id)
+    return SharedRollout(OFFSET, share, True, reason, node_id)
 
 
 class JoinTests(unittest.TestCase):
     @settings(max_examples=60)
     @given(states(), states(), states())
     def test_the_join_is_associative_commutative_and_idempotent(
-        self, a: SharedMove, b: SharedMove, c: SharedMove
+        self, a: SharedRollout, b: SharedRollout, c: SharedRollout
     ) -> None:
         self.assertEqual(a.join(b), b.join(a))
         self.assertEqual(a.join(b.join(c)), a.join(b).join(c))
@@ -42,25 +42,25 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.views = [SharedMoves() for _ in range(VIEWS)]
-        self.sent: list[SharedMove] = []
+        self.views = [SharedRollouts() for _ in range(VIEWS)]
+        self.sent: list[SharedRollout] = []
         self.saw_taken_back = [False] * VIEWS
 
     @rule(driver=st.integers(0, 1), share=st.sampled_from((10, 50, 250, 950)))
     def raise_share(self, driver: int, share: int) -> None:
-        self._merge(driver, SharedMove(OFFSET, share))
+        self._merge(driver, SharedRollout(OFFSET, share))
 
     @rule(node=st.integers(0, VIEWS - 1), reason=st.sampled_from(("errors", "slower")))
     def take_back(self, node: int, reason: str) -> None:
         share = self.views[node].share_permille(OFFSET)
-        self._merge(node, SharedMove(OFFSET, share, True, reason, f"n{node}"))
+        self._merge(node, SharedRollout(OFFSET, share, True, reason, f"n{node}"))
 
     @rule(node=st.integers(0, VIEWS - 1), data=st.data())
     def deliver(self, node: int, data: st.DataObject) -> None:
         if self.sent:
             self._merge(node, data.draw(st.sampled_from(self.sent)))
 
-    def _merge(self, node: int, state: SharedMove) -> None:
+    def _merge(self, node: int, state: SharedRollout) -> None:
         self.views[node].merge(state)
         held = self.views[node].by_offset[OFFSET]
         self.sent.append(held)
@@ -87,15 +87,15 @@
 
 class KeepActiveTests(unittest.TestCase):
     def test_peers_that_lag_do_not_bring_a_finished_move_back(self) -> None:
-        view = SharedMoves()
-        view.merge(SharedMove(OFFSET, 500))
+        view = SharedRollouts()
+        view.merge(SharedRollout(OFFSET, 500))
         view.keep_active(frozenset(), OFFSET + 1)
-        self.assertFalse(view.merge(SharedMove(OFFSET, 950)))
+        self.assertFalse(view.merge(SharedRollout(OFFSET, 950)))
         self.assertEqual(view.share_permille(OFFSET), 0)
 
     def test_a_take_back_may_come_before_the_move_itself(self) -> None:
-        view = SharedMoves()
-        view.merge(SharedMove(OFFSET, 10, True, "errors", "n1"))
+        view = SharedRollouts()
+        view.merge(SharedRollout(OFFSET, 10, True, "errors", "n1"))
         view.keep_active(frozenset({OFFSET}), OFFSET)
-        view.merge(SharedMove(OFFSET, 500))
+        view.merge(SharedRollout(OFFSET, 500))
         self.assertEqual(view.share_permille(OFFSET), 0)
--- a/tests/moves/test_versions.py
+++ b/tests/rollouts/test_versions.py
@@ -4,25 +4,25 @@
 
 from bulrushflow.configuration import Configuration
 from bulrushflow.configuration import Configure
-from bulrushflow.configuration import FinishMove
+from bulrushflow.configuration import FinishRollout
 from bulrushflow.configuration import Record
-from bulrushflow.configuration import StartMove
-from bulrushflow.configuration import WithdrawMove
-from bulrushflow.moves import VersionGate
-from bulrushflow.moves.versions import GRACE_S
+from bulrushflow.configuration import StartRollout
+from bulrushflow.configuration import WithdrawRollout
+from bulrushflow.rollouts import VersionFilter
+from bulrushflow.rollouts.versions import GRACE_S
 from tests.configuration.test_fold import PLOTS
 from tests.configuration.test_fold import fold_all
 
-START = StartMove(1, "m", "ana", "plots", "v2", 99999)
-DONE = FinishMove(1, "m/done", "m", False, "healthy", "", "n1")
-TAKEN_BACK = FinishMove(1, "m/taken-back", "m", True, "errors", "", "n1")
-WITHDRAW = WithdrawMove(1, "w", "ana", "m")
+START = StartRollout(1, "m", "ana", "plots", "v2", 99999)
+DONE = FinishRollout(1, "m/done", "m", False, "healthy", "", "n1")
+TAKEN_BACK = FinishRollout(1, "m/taken-back", "m", True, "errors", "", "n1")
+WITHDRAW = WithdrawRollout(1, "w", "ana", "m")
 NO_SERVICE = Configure(1, "d", "ana", services={"plots": None}, routes={"/plots": None})
 
 
-def follow(*records: Record) -> VersionGate:
+def follow(*records: Record) -> VersionFilter:
     """Follow the configuration record by record, at times a second apart."""
-    gate = VersionGate()
+    gate = VersionFilter()
     for count in range(len(records) + 1):
         configuration: Configuration = fold_all(*records[:count])
         gate.update(configuration, float(count))
@@ -61,6 +61,6 @@
         self.assertTrue(gate.is_forbidden("plots", "v1", lambda _: False, 3 + GRACE_S + 1))
 
     def test_a_service_that_is_not_known_is_left_to_the_routes(self) -> None:
-        self.assertFalse(VersionGate().is_forbidden("plots", "v1", lambda _: False, 0.0))
+        self.assertFalse(VersionFilter().is_forbidden("plots", "v1", lambda _: False, 0.0))
         gate = follow(PLOTS, NO_SERVICE)
         self.assertFalse(gate.is_forbidden("plots", "v1", lambda _: False, 0.0))
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -12,7 +12,7 @@
 from bulrushflow.routing import Outcome
 from bulrushflow.routing import RetryBudget
 from bulrushflow.routing import may_retry
-from bulrushflow.routing import retry_wait_s
+from bulrushflow.routing import retry_backoff_s
 from bulrushflow.routing.retries import BUDGET_MAX_TOKENS
 from bulrushflow.routing.retries import BUDGET_RATIO
 from bulrushflow.routing.retries import MAX_WAIT_S
@@ -55,5 +55,5 @@
 
     def test_waits_have_full_jitter_below_a_cap(self) -> None:
         rng = random.Random(1)
-        waits = [retry_wait_s(rounds, rng) for rounds in range(100)]
+        waits = [retry_backoff_s(rounds, rng) for rounds in range(100)]
         self.assertTrue(all(0 <= wait <= MAX_WAIT_S for wait in waits))
--- a/tests/sidecar/test_gate.py
+++ b/tests/sidecar/test_admission_controller.py
@@ -3,11 +3,11 @@
 
 from bulrushflow.routing import CallResult
 from bulrushflow.routing import Outcome
-from bulrushflow.sidecar.decisions import Decisions
-from bulrushflow.sidecar.gate import Gate
+from bulrushflow.sidecar.admission_controller import AdmissionController
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.model import TargetEntry
 from bulrushflow.sidecar.model import TargetState
-from bulrushflow.sidecar.repeats import RepeatLimit
+from bulrushflow.sidecar.retry_budget import TargetRetryBudget
 from bulrushflow.sidecar.settings import Endpoint
 from tests.sidecar.samples import NAMES
 from tests.sidecar.samples import FixedClock
@@ -25,13 +25,13 @@
         self.told: list[TargetEntry | None] = []
         self.forbidden: set[str] = set()
         self.failed: list[bool] = []
-        self.gate = Gate(
+        self.gate = AdmissionController(
             NAMES,
             lambda service, version: version in self.forbidden,
             lambda call, failed, seconds: self.failed.append(failed),
             self.told.append,
-            RepeatLimit(0.2, 20.0, 10.0),
-            Decisions(),
+            TargetRetryBudget(0.2, 20.0, 10.0),
+            DecisionLog(),
             FixedClock(1_000),
         )
         self.addCleanup(self.gate.close)
--- a/tests/sidecar/test_decisions.py
+++ b/tests/sidecar/test_decisions.py
@@ -7,10 +7,10 @@
 
 from bulrushflow.logs import MAX_WAITING_BYTES
 from bulrushflow.logs import BoundedWriter
-from bulrushflow.routing import Answer
+from bulrushflow.routing import Response
 from bulrushflow.sidecar.decisions import BURST_LINES
 from bulrushflow.sidecar.decisions import SUCCESS_EVERY
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from tests.sidecar.samples import call
 
 
@@ -24,13 +24,13 @@
         self.lines.append({"message": record["message"], **record["extra"]})
 
     async def test_a_refused_call_names_its_id_reason_and_inputs(self) -> None:
-        Decisions().refused(call("r-9", attempt=1), "no target", load=3, slots=4)
+        DecisionLog().refused(call("r-9", attempt=1), "no target", load=3, slots=4)
         (line,) = self.lines
         for name, value in {"request": "r-9", "reason": "no target", "load": 3}.items():
             self.assertEqual(line[name], value)
 
     async def test_lines_of_one_kind_are_bounded_and_the_rest_is_counted(self) -> None:
-        decisions = Decisions()
+        decisions = DecisionLog()
         for _ in range(1000):
             decisions.refused(call(), "no target")
         self.assertLess(len(self.lines), BURST_LINES + 20)
@@ -38,11 +38,11 @@
         self.assertEqual(self.lines[-1]["message"], "target left")
 
     async def test_most_answers_in_time_are_left_out_and_no_late_one(self) -> None:
-        decisions = Decisions()
+        decisions = DecisionLog()
         for _ in range(SUCCESS_EVERY):
-            decisions.answered(call(), Answer(200, (), b""), False)
+            decisions.answered(call(), Response(200, (), b""), False)
         self.assertEqual(len(self.lines), 1)
-        decisions.answered(call("r-2"), Answer(200, (), b""), True)
+        decisions.answered(call("r-2"), Response(200, (), b""), True)
         self.assertEqual(self.lines[-1]["request"], "r-2")
 
 
--- a/tests/sidecar/test_dispatcher.py
+++ b/tests/sidecar/test_dispatcher.py
@@ -7,28 +7,28 @@
 from loguru import logger
 
 from bulrushflow.metrics import Metrics
-from bulrushflow.routing import Answer
 from bulrushflow.routing import Call
 from bulrushflow.routing import CallResult
 from bulrushflow.routing import Outcome
+from bulrushflow.routing import Response
 from bulrushflow.routing import not_run
 from bulrushflow.routing import unknown
 from bulrushflow.sidecar.balancer import Balancer
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.directory import Directory
 from bulrushflow.sidecar.dispatcher import MAX_REFUSALS
 from bulrushflow.sidecar.dispatcher import Dispatcher
 from bulrushflow.sidecar.dispatcher import Progress
+from bulrushflow.sidecar.forwarding import PeerReport
 from bulrushflow.sidecar.model import Route
 from bulrushflow.sidecar.model import WeightedService
-from bulrushflow.sidecar.peers import PeerReport
 from tests.sidecar.samples import call
 from tests.sidecar.samples import peer
 from tests.waiting import until
 
 
-def answered(status: int) -> Answer:
-    return Answer(status, (), b"")
+def answered(status: int) -> Response:
+    return Response(status, (), b"")
 
 
 class ProgressTests(unittest.TestCase):
@@ -99,7 +99,7 @@
             Balancer("a", rng, lambda: 0),
             lambda service, candidates: candidates,
             Metrics(4),
-            Decisions(),
+            DecisionLog(),
             rng,
         )
 
--- a/tests/sidecar/test_driver.py
+++ b/tests/sidecar/test_driver.py
@@ -7,20 +7,20 @@
 
 from result import Result
 
-from bulrushflow.moves import ExposureLimits
-from bulrushflow.moves import Pace
+from bulrushflow.rollouts import ExposureLimits
+from bulrushflow.rollouts import StepDecision
 from bulrushflow.sidecar import driver as driver_module
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.directory import Directory
-from bulrushflow.sidecar.driver import MoveDriver
-from bulrushflow.sidecar.followers import MoveFollower
-from bulrushflow.sidecar.model import MoveOrder
-from bulrushflow.sidecar.model import MovePhase
-from bulrushflow.sidecar.model import MoveStatus
-from bulrushflow.sidecar.moves import Moves
-from bulrushflow.sidecar.records import decode_move
-from bulrushflow.sidecar.records import encode_move
+from bulrushflow.sidecar.driver import RolloutDriver
+from bulrushflow.sidecar.model import RolloutOrder
+from bulrushflow.sidecar.model import RolloutPhase
+from bulrushflow.sidecar.model import RolloutStatus
+from bulrushflow.sidecar.record_handlers import RolloutStatusHandler
+from bulrushflow.sidecar.records import decode_rollout_status
+from bulrushflow.sidecar.records import encode_rollout_status
 from bulrushflow.sidecar.replica import Replica
+from bulrushflow.sidecar.rollouts import Rollouts
 from bulrushflow.sidecar.statuses import StatusLog
 from bulrushflow.sidecar.storage import KeyedRecord
 from bulrushflow.sidecar.storage import StoreWrite
@@ -30,8 +30,8 @@
 from tests.sidecar.samples import peer
 from tests.waiting import until
 
-ORDER = MoveOrder("statements", "v2", 15.0, 7)
-STATUS = MoveStatus("statements", "v2", 7, 1, 100, MovePhase.RUNNING, 0, 15_000)
+ORDER = RolloutOrder("statements", "v2", 15.0, 7)
+STATUS = RolloutStatus("statements", "v2", 7, 1, 100, RolloutPhase.RUNNING, 0, 15_000)
 
 
 class RecordedLinks:
@@ -56,30 +56,30 @@
         pass
 
 
-def encode(status: MoveStatus) -> StoreWrite:
-    return StoreWrite(status.service, encode_move(status))
+def encode(status: RolloutStatus) -> StoreWrite:
+    return StoreWrite(status.service, encode_rollout_status(status))
 
 
-def decode(record: KeyedRecord) -> Result[MoveStatus, str]:
-    return decode_move(record.value)
+def decode(record: KeyedRecord) -> Result[RolloutStatus, str]:
+    return decode_rollout_status(record.value)
 
 
 class Node:
     """The move parts of one node on a store that several share."""
 
     def __init__(self, number: int, store: MemoryStore) -> None:
-        decisions = Decisions()
+        decisions = DecisionLog()
         rng = random.Random(number)
         self.store = store
-        self.moves = Moves(f"n-{number}", 1, decisions, rng, ExposureLimits(0.1, 50))
+        self.moves = Rollouts(f"n-{number}", 1, decisions, rng, ExposureLimits(0.1, 50))
         self.links = RecordedLinks()
         directory = self.directory = Directory()
         for other in (1, 2):
             directory.update(f"node/{other}", peer(other).entry)
         directory.update("node/3", peer(3, "v2").entry)
-        follower = MoveFollower(decode, lambda status: self._take(status), decisions)
+        follower = RolloutStatusHandler(decode, lambda status: self._take(status), decisions)
         self.replica = Replica(store, "statuses", follower, decisions, rng)
-        self.driver = MoveDriver(
+        self.driver = RolloutDriver(
             f"node/{number}",
             f"n-{number}",
             lambda: "statements",
@@ -92,16 +92,18 @@
             decisions,
         )
 
-    def _take(self, status: MoveStatus) -> None:
+    def _take(self, status: RolloutStatus) -> None:
         self.moves.apply_status(status, 0.0)
 
     async def read(self) -> None:
         self.replica.offset = len(self.store.records)
         for record in self.store.records:
-            self.moves.apply_status(decode_move(record.value).unwrap(), 0.0, recorded=True)
+            self.moves.apply_status(
+                decode_rollout_status(record.value).unwrap(), 0.0, recorded=True
+            )
 
     @property
-    def status(self) -> MoveStatus | None:
+    def status(self) -> RolloutStatus | None:
         return self.moves.by_service["statements"].status
 
 
@@ -121,7 +123,7 @@
         self.assertEqual((self.first.status.step, self.first.status.share_permille), (1, 0))
 
     async def test_a_driver_that_missed_a_step_writes_nothing(self) -> None:
-        self.store.put("statements", encode_move(STATUS))
+        self.store.put("statements", encode_rollout_status(STATUS))
         await self.first.driver.check()
         self.assertEqual(len(self.store.records), 1)
         self.assertIsNone(self.first.status)
@@ -141,22 +143,23 @@
         self.store.unavailable = False
         await self.first.read()
         await self.first.driver.check()
-        last = decode_move(self.store.records[-1].value).unwrap()
-        self.assertEqual(last.phase, MovePhase.ROLLED_BACK)
+        last = decode_rollout_status(self.store.records[-1].value).unwrap()
+        self.assertEqual(last.phase, RolloutPhase.ROLLED_BACK)
 
     async def test_a_version_without_calls_left_is_taken_back_without_the_store(self) -> None:
         await self.first.driver.check()
         self.first.moves.apply_status(replace(STATUS, step=2), 0.0)
         self.store.unavailable = True
-        pace = Pace(100, "no calls are left that it may get unproved", roll_back=True)
-        with mock.patch.object(Moves, "next_step", return_value=pace):
+        pace = StepDecision(100, "no calls are left that it may get unproved", roll_back=True)
+        with mock.patch.object(Rollouts, "next_step", return_value=pace):
             await self.first.driver.check()
         self.assertTrue(self.first.moves.is_forbidden("statements", "v2"))
         await until(lambda: len(self.first.links.bodies("state_notice")) == 2)
 
     async def test_an_end_that_the_store_holds_counts_against_an_own_one(self) -> None:
         self.store.put(
-            "statements", encode_move(replace(STATUS, step=3, phase=MovePhase.COMPLETED))
+            "statements",
+            encode_rollout_status(replace(STATUS, step=3, phase=RolloutPhase.COMPLETED)),
         )
         move = self.first.moves.by_service["statements"]
         self.first.driver.roll_back(move, "more errors than the old version")
--- a/tests/sidecar/test_peers.py
+++ b/tests/sidecar/test_forwarding.py
@@ -4,13 +4,13 @@
 from unittest import mock
 
 from bulrushflow.routing import Outcome
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.admission_controller import AdmissionController
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.directory import Directory
 from bulrushflow.sidecar.directory import Peer
-from bulrushflow.sidecar.gate import Gate
-from bulrushflow.sidecar.peers import Peers
-from bulrushflow.sidecar.repeats import RepeatLimit
+from bulrushflow.sidecar.forwarding import PeerForwarder
 from bulrushflow.sidecar.replica import Replica
+from bulrushflow.sidecar.retry_budget import TargetRetryBudget
 from bulrushflow.timers import Timers
 from bulrushflow.wire import Links
 from tests.sidecar.samples import NAMES
@@ -27,23 +27,25 @@
     """One node's connections and gate on loopback."""
 
     def __init__(self) -> None:
-        decisions = Decisions()
+        decisions = DecisionLog()
         self.directory = Directory()
         self.timers = Timers(random.Random(1))
         self.links = Links("127.0.0.1", 0, self.timers)
-        self.gate = Gate(
+        self.gate = AdmissionController(
             NAMES,
             lambda service, version: False,
             lambda call, failed, seconds: None,
             lambda entry: None,
-            RepeatLimit(0.2, 60.0, 10.0),
+            TargetRetryBudget(0.2, 60.0, 10.0),
             decisions,
             FixedClock(1_000),
         )
         store = MemoryStore()
         follower = mock.Mock()
         orders = Replica(store, "orders", follower, decisions, random.Random(1))
-        self.peers = Peers(self.links, self.gate, orders, self.directory.is_current, decisions)
+        self.peers = PeerForwarder(
+            self.links, self.gate, orders, self.directory.is_current, decisions
+        )
 
     async def start(self) -> None:
         await self.timers.start()
--- a/tests/sidecar/test_replica.py
+++ b/tests/sidecar/test_replica.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from bulrushflow.sidecar import replica as replica_module
-from bulrushflow.sidecar.decisions import Decisions
+from bulrushflow.sidecar.decisions import DecisionLog
 from bulrushflow.sidecar.replica import Replica
 from bulrushflow.sidecar.storage import KeyedRecord
 from tests.sidecar.samples import MemoryStore
@@ -33,7 +33,7 @@
             self.addCleanup(patch.stop)
         self.store = MemoryStore()
         self.kept = Kept()
-        self.replica = Replica(self.store, "x", self.kept, Decisions(), random.Random(1))
+        self.replica = Replica(self.store, "x", self.kept, DecisionLog(), random.Random(1))
 
     async def start(self) -> None:
         await self.replica.start()
--- a/tests/sidecar/test_repeats.py
+++ b/tests/sidecar/test_retry_budget.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bulrushflow.sidecar.repeats import RepeatLimit
+from bulrushflow.sidecar.retry_budget import TargetRetryBudget
 
 RATIO, SLACK, WINDOW_S = 0.2, 60.0, 10.0
 steps = st.lists(
@@ -16,7 +16,7 @@
     def test_any_window_keeps_the_services_bound(
         self, calls: list[tuple[float, int, bool]]
     ) -> None:
-        limits = [RepeatLimit(RATIO, SLACK, WINDOW_S) for _ in range(4)]
+        limits = [TargetRetryBudget(RATIO, SLACK, WINDOW_S) for _ in range(4)]
         for limit in limits:
             limit.target_count = len(limits)
         now = 0.0
@@ -36,7 +36,7 @@
 
     def test_calls_that_repeated_calls_make_stay_within_the_bound_too(self) -> None:
         # A service is called twice by each call of another one that is as busy as itself.
-        above, below = (RepeatLimit(RATIO, SLACK, WINDOW_S) for _ in range(2))
+        above, below = (TargetRetryBudget(RATIO, SLACK, WINDOW_S) for _ in range(2))
         firsts = repeats = 0
         for i in range(4000):
             now = i / 400
@@ -49,6 +49,6 @@
         self.assertLessEqual(repeats, RATIO * firsts + SLACK)
 
     def test_without_any_calls_a_part_of_the_slack_is_left(self) -> None:
-        limit = RepeatLimit(RATIO, SLACK, WINDOW_S)
+        limit = TargetRetryBudget(RATIO, SLACK, WINDOW_S)
         limit.target_count = 3
         self.assertEqual(sum(limit.try_consume(0.0) for _ in range(100)), 6)
--- a/tests/sidecar/test_moves.py
+++ b/tests/sidecar/test_rollouts.py
@@ -4,23 +4,23 @@
 import unittest
 from dataclasses import replace
 
-from bulrushflow.moves import ExposureLimits
-from bulrushflow.sidecar.decisions import Decisions
-from bulrushflow.sidecar.model import MoveOrder
-from bulrushflow.sidecar.model import MovePhase
-from bulrushflow.sidecar.model import MoveStatus
-from bulrushflow.sidecar.moves import Moves
+from bulrushflow.rollouts import ExposureLimits
+from bulrushflow.sidecar.decisions import DecisionLog
+from bulrushflow.sidecar.model import RolloutOrder
+from bulrushflow.sidecar.model import RolloutPhase
+from bulrushflow.sidecar.model import RolloutStatus
+from bulrushflow.sidecar.rollouts import Rollouts
 from tests.sidecar.samples import call
 from tests.sidecar.samples import peer
 
 LIMITS = ExposureLimits(0.1, 50)
-ORDER = MoveOrder("statements", "v2", 15.0, 7)
-STATUS = MoveStatus("statements", "v2", 7, 1, 100, MovePhase.RUNNING, 0, 15_000)
+ORDER = RolloutOrder("statements", "v2", 15.0, 7)
+STATUS = RolloutStatus("statements", "v2", 7, 1, 100, RolloutPhase.RUNNING, 0, 15_000)
 
 
 class MovesTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.moves = Moves("n-1", 1, Decisions(), random.Random(3), LIMITS)
+        self.moves = Rollouts("n-1", 1, DecisionLog(), random.Random(3), LIMITS)
         self.old = [peer(1), peer(2)]
         self.new = [peer(3, "v2")]
         self.peers = [*self.old, *self.new]
@@ -46,13 +46,13 @@
         self.assertEqual(self.versions(), {"v1", "v2"})
 
     async def test_a_status_that_comes_before_its_order_counts(self) -> None:
-        self.moves.apply_status(replace(STATUS, phase=MovePhase.ROLLED_BACK), 0.0)
+        self.moves.apply_status(replace(STATUS, phase=RolloutPhase.ROLLED_BACK), 0.0)
         self.moves.apply_order(ORDER, 0.0)
         self.assertTrue(self.moves.is_forbidden("statements", "v2"))
 
     async def test_a_version_taken_back_gets_nothing_whatever_comes_late(self) -> None:
         self.moves.apply_order(ORDER, 0.0)
-        self.moves.apply_status(replace(STATUS, step=2, phase=MovePhase.ROLLED_BACK), 0.0)
+        self.moves.apply_status(replace(STATUS, step=2, phase=RolloutPhase.ROLLED_BACK), 0.0)
         self.assertFalse(self.moves.apply_status(replace(STATUS, step=3, share_permille=500), 0.0))
         self.assertEqual(self.versions(), {"v1"})
         self.assertTrue(self.moves.is_forbidden("statements", "v2"))
@@ -60,12 +60,12 @@
 
     async def test_a_finished_move_uses_the_new_version_only(self) -> None:
         self.moves.apply_order(ORDER, 0.0)
-        self.moves.apply_status(replace(STATUS, step=4, phase=MovePhase.COMPLETED), 0.0)
+        self.moves.apply_status(replace(STATUS, step=4, phase=RolloutPhase.COMPLETED), 0.0)
         self.assertEqual(self.versions(), {"v2"})
 
     async def test_a_later_order_replaces_the_one_before(self) -> None:
         self.moves.apply_order(ORDER, 0.0)
-        self.moves.apply_status(replace(STATUS, phase=MovePhase.ROLLED_BACK), 0.0)
+        self.moves.apply_status(replace(STATUS, phase=RolloutPhase.ROLLED_BACK), 0.0)
         self.moves.apply_order(replace(ORDER, to_version="v3", order_id=9), 1.0)
         self.assertFalse(self.moves.is_forbidden("statements", "v2"))
         self.moves.apply_order(ORDER, 2.0)
@@ -82,15 +82,15 @@
 
     def play(
         self, bad_share: t.Callable[[float, int], float], seed: int, duration_s: float = 16.0
-    ) -> tuple[MovePhase, int, int]:
+    ) -> tuple[RolloutPhase, int, int]:
         """Return how a move ended, and the new version's and all calls up to its deadline.
 
         :param bad_share: bad part of the new version's answers, by the seconds since the order and
             the share in force.
         """
         rng = random.Random(seed)
-        moves = Moves("n-1", 1, Decisions(), rng, LIMITS)
-        order = MoveOrder("statements", "v2", duration_s, 7)
+        moves = Rollouts("n-1", 1, DecisionLog(), rng, LIMITS)
+        order = RolloutOrder("statements", "v2", duration_s, 7)
         moves.apply_order(order, 0.0)
         move = moves.by_service["statements"]
         moves.apply_status(replace(STATUS, share_permille=0), 0.0)
@@ -107,23 +107,23 @@
             for version in answers[due] if due >= 0 else ():
                 bad = bad_share(now, move.share_permille) if version == "v2" else 0.01
                 moves.observe_call(call(version=version), rng.random() < bad, self.LATENCY_S, False)
-            if i % self.CHECK_STEPS == 0 and move.phase is MovePhase.RUNNING:
+            if i % self.CHECK_STEPS == 0 and move.phase is RolloutPhase.RUNNING:
                 self.check(moves, now)
         return move.phase, new_calls, steps * per_step
 
-    def is_new(self, moves: Moves) -> bool:
+    def is_new(self, moves: Rollouts) -> bool:
         chosen = moves.filter_peers("statements", [peer(1), peer(3, "v2")])
         target = chosen[0].entry.target
         return target is not None and target.version == "v2"
 
-    def check(self, moves: Moves, now: float) -> None:
+    def check(self, moves: Rollouts, now: float) -> None:
         move = moves.by_service["statements"]
         assert move.status is not None
         taken_back = moves.update_analysis(move, now) is not None
         pace = moves.next_step(move, now, int(now * 1000))
-        phase = MovePhase.ROLLED_BACK if taken_back or pace.roll_back else MovePhase.RUNNING
-        phase = MovePhase.COMPLETED if pace.completed else phase
-        share = 0 if phase is MovePhase.ROLLED_BACK else pace.share_permille
+        phase = RolloutPhase.ROLLED_BACK if taken_back or pace.roll_back else RolloutPhase.RUNNING
+        phase = RolloutPhase.COMPLETED if pace.completed else phase
+        share = 0 if phase is RolloutPhase.ROLLED_BACK else pace.share_permille
         step = replace(move.status, step=move.status.step + 1, share_permille=share, phase=phase)
         if (step.share_permille, phase) != (move.status.share_permille, move.status.phase):
             moves.apply_status(step, now)
@@ -139,11 +139,11 @@
         for (name, bad_share), seed in itertools.product(kinds.items(), range(16)):
             with self.subTest(name, seed=seed):
                 phase, new_calls, calls = self.play(bad_share, seed)
-                self.assertIs(phase, MovePhase.ROLLED_BACK)
+                self.assertIs(phase, RolloutPhase.ROLLED_BACK)
                 self.assertLessEqual(new_calls, LIMITS.share * calls + LIMITS.slack)
 
     async def test_a_good_version_is_done_by_its_deadline(self) -> None:
         for seed, duration_s in itertools.product(range(8), (12.0, 16.0, 30.0)):
             with self.subTest(seed=seed, duration_s=duration_s):
                 phase, _, _ = self.play(lambda now, share: 0.01, seed, duration_s)
-                self.assertIs(phase, MovePhase.COMPLETED)
+                self.assertIs(phase, RolloutPhase.COMPLETED)
--- a/tests/sidecar/test_slots.py
+++ b/tests/sidecar/test_slots.py
@@ -1,7 +1,7 @@
 import asyncio
 import unittest
 
-from bulrushflow.sidecar.slots import Slots
+from bulrushflow.sidecar.slots import SlotPool
 from bulrushflow.sidecar.slots import Wait
 
 
@@ -10,7 +10,7 @@
         now = asyncio.get_running_loop().time()
         return Wait(route, priority, now + useful_s, now + 5.0)
 
-    async def serve(self, slots: Slots, waits: list[Wait]) -> list[tuple[str, int]]:
+    async def serve(self, slots: SlotPool, waits: list[Wait]) -> list[tuple[str, int]]:
         """Return the order in which calls that wait get the only slot."""
         order: list[tuple[str, int]] = []
 
@@ -26,13 +26,13 @@
         return order
 
     async def test_the_more_important_call_is_next(self) -> None:
-        slots = Slots(1)
+        slots = SlotPool(1)
         self.assertIsNone(await slots.acquire(self.wait()))
         order = await self.serve(slots, [self.wait(2), self.wait(1), self.wait(0)])
         self.assertEqual([priority for _, priority in order], [0, 1, 2])
 
     async def test_calls_of_a_route_that_is_much_shorter_go_first(self) -> None:
-        slots = Slots(1)
+        slots = SlotPool(1)
         for route, seconds in (("long", 0.15), ("short", 0.05)):
             await slots.acquire(self.wait())
             slots.release(route, seconds)
@@ -41,7 +41,7 @@
         self.assertEqual(order, [("short", 1), ("long", 0)])
 
     async def test_a_call_whose_answer_would_be_late_is_refused_at_once(self) -> None:
-        slots = Slots(1)
+        slots = SlotPool(1)
         await slots.acquire(self.wait())
         slots.release("r", 2.0)
         await slots.acquire(self.wait())
@@ -53,7 +53,7 @@
         self.assertEqual(await waiting, "end")
 
     async def test_a_call_that_can_be_in_time_goes_before_one_that_is_late(self) -> None:
-        slots = Slots(1)
+        slots = SlotPool(1)
         for route in ("late", "in time"):
             await slots.acquire(self.wait())
             slots.release(route, 0.5)
@@ -63,7 +63,7 @@
         self.assertEqual(order, [("in time", 2), ("late", 0)])
 
     async def test_a_call_that_became_late_while_it_waited_is_served_after_the_others(self) -> None:
-        slots = Slots(1)
+        slots = SlotPool(1)
         await slots.acquire(self.wait())
         waits = [self.wait(0, "first", useful_s=0.1), self.wait(0, "second", useful_s=4.0)]
         tasks = [asyncio.ensure_future(slots.acquire(wait)) for wait in waits]
@@ -75,7 +75,7 @@
         self.assertIsNone(await tasks[0])
 
     async def test_a_late_call_gives_its_place_in_a_full_queue_to_one_in_time(self) -> None:
-        slots = Slots(1)
+        slots = SlotPool(1)
         await slots.acquire(self.wait())
         late = asyncio.ensure_future(slots.acquire(self.wait(useful_s=0.0)))
         others = [asyncio.ensure_future(slots.acquire(self.wait())) for _ in range(4)]
@@ -87,7 +87,7 @@
         await asyncio.gather(*others)
 
     async def test_a_call_is_refused_while_its_caller_still_waits(self) -> None:
-        slots = Slots(1)
+        slots = SlotPool(1)
         await slots.acquire(self.wait())
         slots.release("r", 100.0)
         await slots.acquire(self.wait(0, "other"))
@@ -97,7 +97,7 @@
         self.assertEqual(refusal, "the deadline can't be met any more")
 
     async def test_a_call_without_enough_time_gets_no_slot_though_one_is_free(self) -> None:
-        slots = Slots(3)
+        slots = SlotPool(3)
         await slots.acquire(self.wait())
         slots.release("r", 1.0)
         now = asyncio.get_running_loop().time()
@@ -106,7 +106,7 @@
         self.assertIsNone(await slots.acquire(Wait("r", 0, now + 0.3, now + 0.9)))
 
     async def test_a_cancelled_wait_leaves_no_slot_behind(self) -> None:
-        slots = Slots(1)
+        slots = SlotPool(1)
         await slots.acquire(self.wait())
         waiting = asyncio.ensure_future(slots.acquire(self.wait()))
         await asyncio.sleep(0)
--- a/tests/targets/test_gatekeeper.py
+++ b/tests/targets/test_admission_controller.py
@@ -13,8 +13,8 @@
 from bulrushflow.routing import ByteBudget
 from bulrushflow.routing import Call
 from bulrushflow.routing import Outcome
-from bulrushflow.targets import Gatekeeper
-from bulrushflow.targets import gatekeeper as gatekeeper_module
+from bulrushflow.targets import AdmissionController
+from bulrushflow.targets import admission_controller as controller_module
 from bulrushflow.timers import Timers
 from tests.targets.servers import GUARD_S
 from tests.targets.servers import announcement
@@ -36,7 +36,7 @@
         self.addAsyncCleanup(timers.stop)
         await timers.start()
         self.port = await self.enterAsyncContext(http_server(self.handle))
-        self.gatekeeper = Gatekeeper(
+        self.gatekeeper = AdmissionController(
             timers,
             lambda service, version: self.forbidden,
             self.observe,
@@ -120,7 +120,7 @@
         self.assertEqual(self.observed, [])
 
     async def test_a_long_call_that_its_caller_gave_up_tells_its_latency(self) -> None:
-        with mock.patch.object(gatekeeper_module, "UNKNOWN_BASELINE_S", 0.0):
+        with mock.patch.object(controller_module, "UNKNOWN_BASELINE_S", 0.0):
             running = asyncio.create_task(self.gatekeeper.run(call("1")))
             await until(lambda: self.started == ["1"])
             running.cancel()
--- a/tests/targets/test_admission.py
+++ b/tests/targets/test_slots.py
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 
 from bulrushflow.exceptions import InvariantError
-from bulrushflow.targets.admission import Admission
+from bulrushflow.targets.slots import SlotPool
 from tests.targets.servers import GUARD_S
 from tests.targets.servers import until
 
 
-def full_admission(slots: int = 2) -> Admission:
+def full_admission(slots: int = 2) -> SlotPool:
     """Return an admission whose slots are all taken."""
-    admission = Admission(slots, slots)
+    admission = SlotPool(slots, slots)
     while admission.try_acquire():
         pass
     return admission
@@ -77,7 +77,7 @@
 
     async def test_releasing_twice_is_a_broken_invariant(self) -> None:
         with self.assertRaises(InvariantError):
-            Admission(1, 1).release()
+            SlotPool(1, 1).release()
 
 
 class AdmissionPropertyTests(unittest.TestCase):
@@ -87,7 +87,7 @@
         asyncio.run(self._race(random.Random(seed), slots))
 
     async def _race(self, rng: random.Random, slots: int) -> None:
-        admission = Admission(slots, slots)
+        admission = SlotPool(slots, slots)
         running = 0
 
         async def run() -> None:
