--- a/src/bulrushflow/callers/dispatcher.py
+++ b/src/bulrushflow/callers/dispatcher.py
@@ -34,58 +34,60 @@
     def __init__(
         self,
         table: MemberTable,
-        shared_moves: SharedRollouts,
-        gatekeeper: AdmissionController,
+        shared_rollouts: SharedRollouts,
+        admission_controller: AdmissionController,
         forwarding: Forwarding,
         metrics: Metrics,
         rng: random.Random,
     ) -> None:
         self._table = table
-        self._shared_moves = shared_moves
-        self._gatekeeper = gatekeeper
+        self._shared_rollouts = shared_rollouts
+        self._admission_controller = admission_controller
         self._forwarding = forwarding
         self._metrics = metrics
         self._rng = rng
         own = table.own
         self._balancer = Balancer(own.node_id, own.data_centre, self._own_load, rng)
-        self._budgets_by_service: dict[str, RetryBudget] = {}
+        self._retry_budgets_by_service: dict[str, RetryBudget] = {}
 
     async def dispatch(self, configuration: Configuration, call: Call) -> CallResult:
         """Run a call; its version is chosen here."""
         versions = choose_versions(
-            configuration, call.service, self._shared_moves.share_permille, self._rng
+            configuration, call.service, self._shared_rollouts.share_permille, self._rng
         )
-        budget = self._budget(configuration, call.service)
+        budget = self._retry_budget(configuration, call.service)
         budget.replenish()
         tried: set[str] = set()
         rounds = 0
-        last = not_run(f"no ready target for service {call.service}")
+        result = not_run(f"no ready target for service {call.service}")
         for retries in range(MAX_ATTEMPTS):
             if retries and not budget.try_consume():
-                return last
+                return result
             chosen = self._choose(call.service, versions, tried)
             if chosen is None and tried:
-                if not await self._wait(call, rounds):
-                    return last
+                if not await self._back_off(call, rounds):
+                    return result
                 rounds += 1
                 tried.clear()
                 chosen = self._choose(call.service, versions, tried)
             if chosen is None:
-                return last
+                return result
             member, version = chosen
             if retries:
                 self._metrics.retries.inc({"service": call.service})
             tried.add(member.node_id)
-            last = _after(last, await self._attempt(member, call.for_attempt(version, retries)))
-            match last:
+            result = _combine_results(
+                result, await self._attempt(member, call.for_attempt(version, retries))
+            )
+            match result:
                 case Ok(_):
-                    return last
+                    return result
                 case Err(failure):
                     if not may_retry(call, failure):
-                        return last
+                        return result
             if asyncio.get_running_loop().time() >= call.deadline:
-                return last
-        return last
+                return result
+        return result
 
     def _choose(
         self, service: str, versions: tuple[str, ...], tried: set[str]
@@ -103,13 +105,13 @@
         if loop.time() >= call.deadline:
             return refused("no time left")
         if member.node_id == self._table.own_id:
-            return await self._gatekeeper.run(call)
+            return await self._admission_controller.run(call)
         node_id = member.node_id
-        self._balancer.begin(node_id)
+        self._balancer.begin_attempt(node_id)
         try:
             result, report = await self._forwarding.send(member, call)
         finally:
-            self._balancer.end(node_id)
+            self._balancer.end_attempt(node_id)
         load = None
         if report is not None:
             load = report.load / report.capacity if report.capacity else FULL_LOAD
@@ -117,31 +119,33 @@
             # Whoever fails calls at once looks idle, and would draw the calls of all others.
             load = max(load or 0.0, FULL_LOAD)
         if load is not None:
-            self._balancer.report(node_id, load, loop.time())
+            self._balancer.record_load(node_id, load, loop.time())
         return result
 
-    async def _wait(self, call: Call, rounds: int) -> bool:
+    async def _back_off(self, call: Call, rounds: int) -> bool:
         """Wait after every target refused; ``False`` when the call has no time for it."""
-        wait_s = retry_backoff_s(rounds, self._rng)
-        if asyncio.get_running_loop().time() + wait_s >= call.deadline:
+        backoff_s = retry_backoff_s(rounds, self._rng)
+        if asyncio.get_running_loop().time() + backoff_s >= call.deadline:
             return False
-        await asyncio.sleep(wait_s)
+        await asyncio.sleep(backoff_s)
         return True
 
-    def _budget(self, configuration: Configuration, service: str) -> RetryBudget:
-        budget = self._budgets_by_service.get(service)
+    def _retry_budget(self, configuration: Configuration, service: str) -> RetryBudget:
+        budget = self._retry_budgets_by_service.get(service)
         if budget is None:
-            for name in self._budgets_by_service.keys() - configuration.services_by_name.keys():
-                del self._budgets_by_service[name]
-            budget = self._budgets_by_service[service] = RetryBudget()
+            for name in (
+                self._retry_budgets_by_service.keys() - configuration.services_by_name.keys()
+            ):
+                del self._retry_budgets_by_service[name]
+            budget = self._retry_budgets_by_service[service] = RetryBudget()
         return budget
 
     def _own_load(self) -> float:
-        capacity = self._gatekeeper.capacity
-        return self._gatekeeper.load / capacity if capacity else FULL_LOAD
+        capacity = self._admission_controller.capacity
+        return self._admission_controller.load / capacity if capacity else FULL_LOAD
 
 
-def _after(earlier: CallResult, latest: CallResult) -> CallResult:
+def _combine_results(earlier: CallResult, latest: CallResult) -> CallResult:
     """Return what is known of a call after one more attempt.
 
     Once one attempt may have run, a later one that certainly did not leaves the call uncertain.
--- a/src/bulrushflow/routing/balancer.py
+++ b/src/bulrushflow/routing/balancer.py
@@ -6,19 +6,19 @@
 
 from bulrushflow.membership import Member
 
-OWN_TARGET_LOAD = 0.7
+OWN_TARGET_MAX_LOAD = 0.7
 """Load per slot below which the own target is taken, which saves a hop."""
-HALF_LIFE_S = 1.0
+LOAD_HALF_LIFE_S = 1.0
 """Time in which a reported load loses half of its weight."""
-FORGET_S = 10.0
+REPORT_TTL_S = 10.0
 
 
 @dataclass(slots=True)
-class _Report:
+class _ReportedLoad:
     """Calls per slot that a node reported, or was taken to have after it failed."""
 
     load: float
-    at: float
+    reported_at: float
 
 
 class Balancer:
@@ -47,17 +47,17 @@
         self._own_load = own_load
         self._rng = rng
         self.in_flight_by_id: dict[str, int] = {}
-        self._reports_by_id: dict[str, _Report] = {}
+        self._reports_by_id: dict[str, _ReportedLoad] = {}
 
     def choose(self, candidates: list[Member], excluded: set[str], now: float) -> Member | None:
         """Return the target's node for one attempt, or ``None`` when none is left."""
-        left = [m for m in candidates if m.node_id not in excluded] if excluded else candidates
-        if not left:
+        remaining = [m for m in candidates if m.node_id not in excluded] if excluded else candidates
+        if not remaining:
             return None
-        for member in left:
-            if member.node_id == self._own_id and self._own_load() < OWN_TARGET_LOAD:
+        for member in remaining:
+            if member.node_id == self._own_id and self._own_load() < OWN_TARGET_MAX_LOAD:
                 return member
-        pool = self._pool(left, now)
+        pool = self._preferred(remaining, now)
         if len(pool) == 1:
             return pool[0]
         first, second = self._rng.sample(pool, 2)
@@ -72,38 +72,44 @@
         report = self._reports_by_id.get(member.node_id)
         if report is None:
             return own
-        return max(own, report.load * 0.5 ** ((now - report.at) / HALF_LIFE_S))
+        return max(own, report.load * 0.5 ** ((now - report.reported_at) / LOAD_HALF_LIFE_S))
 
-    def begin(self, node_id: str) -> None:
+    def begin_attempt(self, node_id: str) -> None:
         """Count an attempt that starts."""
         self.in_flight_by_id[node_id] = self.in_flight_by_id.get(node_id, 0) + 1
 
-    def end(self, node_id: str) -> None:
+    def end_attempt(self, node_id: str) -> None:
         """Count an attempt that ended."""
-        left = self.in_flight_by_id.get(node_id, 1) - 1
-        if left > 0:
-            self.in_flight_by_id[node_id] = left
+        remaining = self.in_flight_by_id.get(node_id, 1) - 1
+        if remaining > 0:
+            self.in_flight_by_id[node_id] = remaining
         else:
             self.in_flight_by_id.pop(node_id, None)
 
-    def report(self, node_id: str, load: float, now: float) -> None:
+    def record_load(self, node_id: str, load: float, now: float) -> None:
         """Take in a node's load per slot: as it told with an answer, or 1 after it failed."""
         report = self._reports_by_id.get(node_id)
         if report is None:
-            self._forget_old(now)
-            self._reports_by_id[node_id] = _Report(load, now)
+            self._evict_expired_reports(now)
+            self._reports_by_id[node_id] = _ReportedLoad(load, now)
             return
         report.load = load
-        report.at = now
+        report.reported_at = now
 
-    def _pool(self, left: list[Member], now: float) -> list[Member]:
-        near = [m for m in left if m.data_centre == self._data_centre and self.load(m, now) < 1]
+    def _preferred(self, remaining: list[Member], now: float) -> list[Member]:
+        near = [
+            m for m in remaining if m.data_centre == self._data_centre and self.load(m, now) < 1
+        ]
         if near:
             return near
-        free = [m for m in left if self.load(m, now) < 1]
-        return free or left
-
-    def _forget_old(self, now: float) -> None:
-        old = [k for k, report in self._reports_by_id.items() if now - report.at > FORGET_S]
-        for node_id in old:
+        free = [m for m in remaining if self.load(m, now) < 1]
+        return free or remaining
+
+    def _evict_expired_reports(self, now: float) -> None:
+        expired = [
+            k
+            for k, report in self._reports_by_id.items()
+            if now - report.reported_at > REPORT_TTL_S
+        ]
+        for node_id in expired:
             del self._reports_by_id[node_id]
--- a/src/bulrushflow/routing/limits.py
+++ b/src/bulrushflow/routing/limits.py
@@ -1,19 +1,19 @@
 """Limits on what runs at once: an adaptive concurrency limit and a budget of buffered bytes."""
 
-FLOOR_SHARE = 0.25
+MIN_LIMIT_RATIO = 0.25
 """Part of the slots that the limit never goes below."""
-BACKOFF = 0.85
+BACKOFF_FACTOR = 0.85
 """Factor on the limit after a window whose latency grew too far."""
-TOLERANCE = 2.0
+LATENCY_TOLERANCE_FACTOR = 2.0
 """How many times the baseline latency a window may show."""
-SLACK_S = 0.005
+LATENCY_SLACK_S = 0.005
 """Latency above the baseline that is never taken for queueing."""
-BUSY_SHARE = 0.8
+MIN_UTILIZATION = 0.8
 """Part of the limit that must have been in use before it is raised."""
-DRIFT = 1.02
+BASELINE_DRIFT_FACTOR = 1.02
 """Factor by which the baseline follows a lastingly higher latency, once a window."""
 WINDOW_S = 0.25
-WINDOW_SAMPLES = 20
+MIN_WINDOW_SAMPLES = 20
 
 
 class ConcurrencyLimit:
@@ -30,7 +30,7 @@
         "_dropped",
         "_latency_sum_s",
         "_limit",
-        "_peak",
+        "_peak_in_flight",
         "_samples",
         "_slots",
         "_window_ends_at",
@@ -44,7 +44,7 @@
         self._samples = 0
         self._dropped = 0
         self._latency_sum_s = 0.0
-        self._peak = 0
+        self._peak_in_flight = 0
 
     @property
     def value(self) -> int:
@@ -63,47 +63,47 @@
         """
         self._samples += 1
         self._latency_sum_s += seconds
-        self._peak = max(self._peak, in_flight)
-        self._end_window(now)
+        self._peak_in_flight = max(self._peak_in_flight, in_flight)
+        self._end_window_if_due(now)
 
     def observe_dropped(self, now: float, in_flight: int) -> None:
         """Take in one call that the target shed, lost or did not answer in time."""
         self._dropped += 1
-        self._peak = max(self._peak, in_flight)
-        self._end_window(now)
+        self._peak_in_flight = max(self._peak_in_flight, in_flight)
+        self._end_window_if_due(now)
 
-    def _end_window(self, now: float) -> None:
-        if now < self._window_ends_at or self._samples + self._dropped < WINDOW_SAMPLES:
+    def _end_window_if_due(self, now: float) -> None:
+        if now < self._window_ends_at or self._samples + self._dropped < MIN_WINDOW_SAMPLES:
             return
         if self._samples:
             mean_s = self._latency_sum_s / self._samples
-            grown = self._has_grown(mean_s)
-            self._follow(mean_s)
+            exceeded = self._latency_exceeds_baseline(mean_s)
+            self._update_baseline(mean_s)
         else:
-            grown = True
+            exceeded = True
         # Single drops are usual for a target with faults of its own; a tenth is not.
-        if grown or self._dropped * 10 > self._samples:
-            self._limit = max(1.0, self._slots * FLOOR_SHARE, self._limit * BACKOFF)
-        elif self._peak >= int(self._limit) * BUSY_SHARE:
+        if exceeded or self._dropped * 10 > self._samples:
+            self._limit = max(1.0, self._slots * MIN_LIMIT_RATIO, self._limit * BACKOFF_FACTOR)
+        elif self._peak_in_flight >= int(self._limit) * MIN_UTILIZATION:
             self._limit = min(float(self._slots), self._limit + 1)
         self._begin_window(now)
 
-    def _has_grown(self, mean_s: float) -> bool:
+    def _latency_exceeds_baseline(self, mean_s: float) -> bool:
         if self._baseline_s is None:
             return False
-        return mean_s > self._baseline_s * TOLERANCE + SLACK_S
+        return mean_s > self._baseline_s * LATENCY_TOLERANCE_FACTOR + LATENCY_SLACK_S
 
-    def _follow(self, mean_s: float) -> None:
+    def _update_baseline(self, mean_s: float) -> None:
         if self._baseline_s is None or mean_s < self._baseline_s:
             self._baseline_s = mean_s
             return
-        self._baseline_s = min(mean_s, self._baseline_s * DRIFT)
+        self._baseline_s = min(mean_s, self._baseline_s * BASELINE_DRIFT_FACTOR)
 
     def _begin_window(self, now: float) -> None:
         self._samples = 0
         self._dropped = 0
         self._latency_sum_s = 0.0
-        self._peak = 0
+        self._peak_in_flight = 0
         self._window_ends_at = now + WINDOW_S
 
 
--- a/src/bulrushflow/routing/model.py
+++ b/src/bulrushflow/routing/model.py
@@ -133,7 +133,7 @@
 def outcome_label(result: CallResult) -> str:
     """Return the value of the metrics' ``outcome`` label."""
     match result:
-        case Ok(answer):
-            return "error" if answer.is_failure else "ok"
+        case Ok(response):
+            return "error" if response.is_failure else "ok"
         case Err(failure):
             return failure.outcome.name.lower()
--- a/src/bulrushflow/routing/queues.py
+++ b/src/bulrushflow/routing/queues.py
@@ -39,7 +39,7 @@
     def __len__(self) -> int:
         return self._length
 
-    def estimated_wait_s(self, tenant: str, service_s: float, concurrency: int) -> float:
+    def estimated_wait_s(self, tenant: str, service_time_s: float, concurrency: int) -> float:
         """Estimate how long a new item of ``tenant`` waits for its slot.
 
         :param service_s: recent mean time that an item holds a slot.
@@ -47,7 +47,7 @@
         """
         own = len(self._by_tenant.get(self._key(tenant), ()))
         ahead = sum(min(len(queue), own + 1) for queue in self._by_tenant.values())
-        return (ahead + 1) * service_s / max(1, concurrency)
+        return (ahead + 1) * service_time_s / max(1, concurrency)
 
     def push(self, item: T, tenant: str, deadline: float) -> T | None:
         """Add an item; return the one that gave way for it, itself perhaps."""
@@ -66,30 +66,30 @@
         self._length += 1
         return evicted
 
-    def pop(self, now: float, service_s: float) -> tuple[T | None, list[T]]:
+    def pop(self, now: float, service_time_s: float) -> tuple[T | None, list[T]]:
         """Return the next item that can still meet its deadline, and those that can't.
 
         :param service_s: time that an item needs once it has its slot.
         """
-        late: list[T] = []
+        expired: list[T] = []
         while self._by_tenant:
             tenant, queue = next(iter(self._by_tenant.items()))
-            waiting = queue.popleft()
+            queued = queue.popleft()
             self._length -= 1
             if queue:
                 self._by_tenant.move_to_end(tenant)
             else:
                 del self._by_tenant[tenant]
-            if now + service_s < waiting.deadline:
-                return waiting.item, late
-            late.append(waiting.item)
-        return None, late
+            if now + service_time_s < queued.deadline:
+                return queued.item, expired
+            expired.append(queued.item)
+        return None, expired
 
     def remove(self, item: T) -> bool:
         """Take an item out of turn; ``False`` when it is not queued."""
         for tenant, queue in self._by_tenant.items():
-            for i, waiting in enumerate(queue):
-                if waiting.item is item:
+            for i, queued in enumerate(queue):
+                if queued.item is item:
                     del queue[i]
                     self._length -= 1
                     if not queue:
@@ -99,7 +99,7 @@
 
     def clear(self) -> list[T]:
         """Empty the queue and return what was in it."""
-        items = [waiting.item for queue in self._by_tenant.values() for waiting in queue]
+        items = [queued.item for queue in self._by_tenant.values() for queued in queue]
         self._by_tenant.clear()
         self._length = 0
         return items
--- a/src/bulrushflow/routing/retries.py
+++ b/src/bulrushflow/routing/retries.py
@@ -10,8 +10,8 @@
 """Retries per first attempt, which bounds the work that failures add."""
 BUDGET_MAX_TOKENS = 20.0
 MAX_ATTEMPTS = 4
-BASE_WAIT_S = 0.01
-MAX_WAIT_S = 0.1
+BASE_BACKOFF_S = 0.01
+MAX_BACKOFF_S = 0.1
 
 
 class RetryBudget:
@@ -52,4 +52,4 @@
 
     :param rounds: how often every target has refused this call before.
     """
-    return rng.uniform(0.0, min(MAX_WAIT_S, BASE_WAIT_S * 2**rounds))
+    return rng.uniform(0.0, min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2**rounds))
--- a/src/bulrushflow/routing/routes.py
+++ b/src/bulrushflow/routing/routes.py
@@ -38,12 +38,12 @@
     :param share_permille: gives the new version's share for a move's offset, 0 when taken back.
     """
     stable = configuration.services_by_name[service].version
-    move = configuration.active_rollout(service)
-    if move is None:
+    rollout = configuration.active_rollout(service)
+    if rollout is None:
         return (stable,)
-    share = share_permille(move.offset)
+    share = share_permille(rollout.offset)
     if share >= FULL_SHARE_PERMILLE:
-        return (move.to_version, move.from_version)
+        return (rollout.to_version, rollout.from_version)
     if rng.randrange(FULL_SHARE_PERMILLE) < share:
-        return (move.to_version, move.from_version)
-    return (move.from_version,)
+        return (rollout.to_version, rollout.from_version)
+    return (rollout.from_version,)
--- a/tests/callers/test_dispatcher.py
+++ b/tests/callers/test_dispatcher.py
@@ -64,31 +64,31 @@
 
 
 class DispatcherTests(unittest.IsolatedAsyncioTestCase):
-    async def test_other_targets_are_tried_first_and_told_of_the_retry(self) -> None:
+    async def test_retries_go_to_other_targets_with_the_attempt_number(self) -> None:
         nodes = FakeNodes([not_run("full"), not_run("full"), ANSWERED])
         result = await dispatcher(nodes, 3).dispatch(CONFIGURATION, call())
         self.assertTrue(result.is_ok())
         self.assertEqual({node_id for node_id, _ in nodes.attempts}, {"0", "1", "2"})
         self.assertEqual([attempt for _, attempt in nodes.attempts], [0, 1, 2])
 
-    async def test_a_target_that_refused_is_tried_again_after_a_wait(self) -> None:
+    async def test_only_target_is_retried_after_a_backoff(self) -> None:
         nodes = FakeNodes([not_run("full"), ANSWERED])
         result = await dispatcher(nodes, 1).dispatch(CONFIGURATION, call())
         self.assertTrue(result.is_ok())
         self.assertEqual(len(nodes.attempts), 2)
 
-    async def test_no_target_is_told_at_once(self) -> None:
+    async def test_call_without_a_ready_target_is_not_run(self) -> None:
         result = await dispatcher(FakeNodes([]), 0).dispatch(CONFIGURATION, call())
         self.assertIs(result.unwrap_err().outcome, Outcome.NOT_RUN)
 
-    async def test_retries_end_with_the_budget(self) -> None:
+    async def test_retries_are_bounded_by_the_retry_budget(self) -> None:
         nodes = FakeNodes([])
         busy = dispatcher(nodes, 2)
         for _ in range(200):
             await busy.dispatch(CONFIGURATION, call())
         self.assertLess(len(nodes.attempts), 200 * 1.1 + 20 + 1)
 
-    async def test_a_target_that_fails_at_once_does_not_look_idle(self) -> None:
+    async def test_target_that_fails_immediately_is_not_considered_idle(self) -> None:
         nodes = FakeNodes([not_run("no connection"), *[ANSWERED] * 50])
         balanced = dispatcher(nodes, 2)
         for _ in range(20):
@@ -96,7 +96,7 @@
         failing = nodes.attempts[0][0]
         self.assertNotIn(failing, [node_id for node_id, _ in nodes.attempts[1:]])
 
-    async def test_a_call_without_time_is_not_sent(self) -> None:
+    async def test_call_past_its_deadline_is_not_sent(self) -> None:
         nodes = FakeNodes([ANSWERED])
         result = await dispatcher(nodes, 1).dispatch(CONFIGURATION, call(timeout_s=0.0))
         self.assertIs(result.unwrap_err().outcome, Outcome.REFUSED)
@@ -111,15 +111,15 @@
         st.booleans(),
         st.integers(0, 2),
     )
-    def test_what_may_have_run_is_sent_again_only_when_idempotent(
+    def test_call_that_may_have_run_is_retried_only_when_idempotent(
         self, outcomes: list[str], targets: int, idempotent: bool, attempt: int
     ) -> None:
         results_by_name = {"not run": not_run(""), "unknown": unknown(""), "answered": ANSWERED}
         nodes = FakeNodes([results_by_name[name] for name in outcomes])
 
         async def dispatch() -> CallResult:
-            tried = call(idempotent=idempotent, attempt=attempt)
-            return await dispatcher(nodes, targets).dispatch(CONFIGURATION, tried)
+            attempted = call(idempotent=idempotent, attempt=attempt)
+            return await dispatcher(nodes, targets).dispatch(CONFIGURATION, attempted)
 
         result = asyncio.run(dispatch())
         self.assertLessEqual(len(nodes.attempts), MAX_ATTEMPTS)
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -15,12 +15,12 @@
 from bulrushflow.routing import retry_backoff_s
 from bulrushflow.routing.retries import BUDGET_MAX_TOKENS
 from bulrushflow.routing.retries import BUDGET_RATIO
-from bulrushflow.routing.retries import MAX_WAIT_S
+from bulrushflow.routing.retries import MAX_BACKOFF_S
 from tests.targets.servers import call
 
 
 class RetryTests(unittest.TestCase):
-    def test_only_what_can_do_no_harm_is_tried_again(self) -> None:
+    def test_only_safe_calls_are_retried(self) -> None:
         cases = [
             # outcome, idempotent, attempt, expected
             (Outcome.NOT_RUN, False, 0, True),
@@ -33,27 +33,27 @@
         ]
         for outcome, idempotent, attempt, expected in cases:
             with self.subTest(outcome=outcome, idempotent=idempotent, attempt=attempt):
-                retried = asyncio.run(self._may_retry(outcome, idempotent, attempt))
-                self.assertEqual(retried, expected)
+                allowed = asyncio.run(self._may_retry(outcome, idempotent, attempt))
+                self.assertEqual(allowed, expected)
 
     async def _may_retry(self, outcome: Outcome, idempotent: bool, attempt: int) -> bool:
-        tried = call(idempotent=idempotent, attempt=attempt)
-        return may_retry(tried, CallFailure(outcome, ""))
+        attempted = call(idempotent=idempotent, attempt=attempt)
+        return may_retry(attempted, CallFailure(outcome, ""))
 
     @settings(max_examples=50)
     @given(st.lists(st.booleans(), max_size=400))
-    def test_retries_stay_a_share_of_first_attempts(self, events: list[bool]) -> None:
+    def test_retries_are_bounded_by_first_attempts(self, events: list[bool]) -> None:
         budget = RetryBudget()
-        earned = spent = 0
-        for earns in events:
-            if earns:
+        replenished = consumed = 0
+        for is_first_attempt in events:
+            if is_first_attempt:
                 budget.replenish()
-                earned += 1
+                replenished += 1
             elif budget.try_consume():
-                spent += 1
-            self.assertLessEqual(spent, BUDGET_MAX_TOKENS + earned * BUDGET_RATIO + 1e-6)
+                consumed += 1
+            self.assertLessEqual(consumed, BUDGET_MAX_TOKENS + replenished * BUDGET_RATIO + 1e-6)
 
-    def test_waits_have_full_jitter_below_a_cap(self) -> None:
+    def test_backoff_stays_within_its_cap(self) -> None:
         rng = random.Random(1)
-        waits = [retry_backoff_s(rounds, rng) for rounds in range(100)]
-        self.assertTrue(all(0 <= wait <= MAX_WAIT_S for wait in waits))
+        backoffs = [retry_backoff_s(rounds, rng) for rounds in range(100)]
+        self.assertTrue(all(0 <= backoff <= MAX_BACKOFF_S for backoff in backoffs))
