--- a/src/bulrushflow/targets/admission_controller.py
+++ b/src/bulrushflow/targets/admission_controller.py
@@ -21,14 +21,14 @@
 from bulrushflow.targets.session import TargetSession
 from bulrushflow.timers import Timers
 
-CHECK_S = 0.5
-FAIR_TIME_FACTOR = 4.0
+CHECK_INTERVAL_S = 0.5
+SUFFICIENT_TIME_FACTOR = 4.0
 """A timeout counts as the version's fault when it had so many baseline service times."""
-UNKNOWN_BASELINE_S = 0.1
+DEFAULT_BASELINE_S = 0.1
 """Taken for the baseline of a target that has not answered yet."""
-RETIRE_S = 30.0
+RETIRE_TIMEOUT_S = 30.0
 
-Observer = t.Callable[[Call, bool, float], None]
+CallObserver = t.Callable[[Call, bool, float], None]
 TargetCallback = t.Callable[[Target | None], None]
 ForbiddenCheck = t.Callable[[str, str], bool]
 
@@ -47,53 +47,53 @@
         self,
         timers: Timers,
         is_forbidden: ForbiddenCheck,
-        observer: Observer,
-        on_target: TargetCallback,
+        observer: CallObserver,
+        on_target_change: TargetCallback,
         metrics: Metrics,
-        buffered: ByteBudget,
-        max_answer_bytes: int,
+        byte_budget: ByteBudget,
+        max_response_bytes: int,
     ) -> None:
         self.announcement: Announcement | None = None
         self._is_forbidden = is_forbidden
         self._observer = observer
-        self._on_target = on_target
+        self._on_target_change = on_target_change
         self._metrics = metrics
-        self._buffered = buffered
-        self._max_answer_bytes = max_answer_bytes
+        self._byte_budget = byte_budget
+        self._max_response_bytes = max_response_bytes
         self._session: TargetSession | None = None
         self._retiring: set[asyncio.Task[None]] = set()
         self._renewed_at = 0.0
         self._draining = False
-        timers.subscribe("target-expiry", CHECK_S, self._check)
+        timers.subscribe("target-expiry", CHECK_INTERVAL_S, self._check)
 
     @property
     def in_flight(self) -> int:
         """Calls sent to the target and not yet ended."""
-        return self._session.admission.active if self._session else 0
+        return self._session.slots.active if self._session else 0
 
     @property
     def load(self) -> int:
         """Slots that are not free, and calls that wait for one."""
         if self._session is None:
             return 0
-        return self._session.admission.occupied + self._session.admission.queued
+        return self._session.slots.occupied + self._session.slots.queued
 
     @property
     def capacity(self) -> int:
         """Calls that may run on the target at once now."""
-        return self._session.admission.capacity if self._session else 0
+        return self._session.slots.capacity if self._session else 0
 
     async def handle_announcement(self, announcement: Announcement) -> None:
         """Take the target's own word on its state and address."""
         self._renewed_at = asyncio.get_running_loop().time()
         if announcement == self.announcement:
             return
-        self._hold_session(announcement)
+        self._ensure_session(announcement)
         self.announcement = announcement
         logger.info("target announced: {}", announcement)
         if announcement.state != "ready" and self._session is not None:
-            self._session.admission.refuse_queued("the target takes no new calls")
-        self._tell_target()
+            self._session.slots.refuse_queued("the target takes no new calls")
+        self._notify_target_change()
 
     async def run(self, call: Call) -> CallResult:
         """Run a call on the target, or refuse it with the certainty that it did not run."""
@@ -103,24 +103,24 @@
         refusal = self._refusal(session, call)
         if refusal is not None:
             return self._shed(call, refusal)
-        admission = session.admission
-        if not admission.try_acquire():
-            refusal = await admission.acquire(call.tenant, call.deadline)
+        slots = session.slots
+        if not slots.try_acquire():
+            refusal = await slots.acquire(call.tenant, call.deadline)
             if refusal is not None:
                 return self._shed(call, refusal)
             refusal = self._refusal(session, call)
             if refusal is not None:
-                admission.release()
+                slots.release()
                 return self._shed(call, refusal)
         return await self._send(session, call)
 
     async def drain(self, timeout_s: float) -> bool:
         """Refuse new calls and wait for those in flight; return whether all ended."""
         self._draining = True
-        self._tell_target()
+        self._notify_target_change()
         if self._session is None:
             return True
-        self._session.admission.refuse_queued("this node takes no new calls")
+        self._session.slots.refuse_queued("this node takes no new calls")
         try:
             await asyncio.wait_for(self._session.wait_idle(), timeout_s)
         except TimeoutError:
@@ -136,32 +136,32 @@
 
     async def _send(self, session: TargetSession, call: Call) -> CallResult:
         loop = asyncio.get_running_loop()
-        admission = session.admission
+        slots = session.slots
         started_at = loop.time()
         try:
             result = await session.send(call)
         except BaseException:
-            admission.release_abandoned()
+            slots.release_abandoned()
             self._observe_abandoned(session, call, loop.time() - started_at)
             raise
         seconds = loop.time() - started_at
         match result:
-            case Ok(answer):
-                failed = answer.is_failure
+            case Ok(response):
+                failed = response.is_failure
                 if not failed:
                     # A target that fails fast says nothing of its service time.
-                    admission.observe(seconds)
-                admission.release()
+                    slots.observe(seconds)
+                slots.release()
                 self._observer(call, failed, seconds)
             case Err(failure) if failure.outcome is Outcome.UNKNOWN:
-                admission.observe_dropped()
-                admission.release_abandoned()
-                if self._had_fair_time(session, call, started_at):
+                slots.observe_dropped()
+                slots.release_abandoned()
+                if self._had_sufficient_time(session, call, started_at):
                     self._observer(call, True, seconds)
             case Err(failure):
                 if failure.outcome is Outcome.NOT_RUN:
-                    admission.observe_dropped()
-                admission.release()
+                    slots.observe_dropped()
+                slots.release()
                 self._check_reachable(session)
         return result
 
@@ -173,8 +173,8 @@
         if session is self._session and session.unreachable and self.announcement is not None:
             logger.warning("target {} takes no connections", self.announcement.url)
             self.announcement = None
-            session.admission.refuse_queued("the target is gone")
-            self._tell_target()
+            session.slots.refuse_queued("the target is gone")
+            self._notify_target_change()
 
     def _observe_abandoned(self, session: TargetSession, call: Call, seconds: float) -> None:
         """Tell how long a cancelled call ran, if it was long.
@@ -182,17 +182,17 @@
         Callers that give up early would otherwise hide a version that hangs. It is no fault by
         itself: the time is a lower bound on the call's latency.
         """
-        baseline_s = session.admission.limit.baseline_s
-        usual_s = UNKNOWN_BASELINE_S if baseline_s is None else baseline_s
-        if seconds >= usual_s * FAIR_TIME_FACTOR:
+        baseline_s = session.slots.limit.baseline_s
+        usual_s = DEFAULT_BASELINE_S if baseline_s is None else baseline_s
+        if seconds >= usual_s * SUFFICIENT_TIME_FACTOR:
             self._observer(call, False, seconds)
 
-    def _had_fair_time(self, session: TargetSession, call: Call, started_at: float) -> bool:
+    def _had_sufficient_time(self, session: TargetSession, call: Call, started_at: float) -> bool:
         """Tell whether a call left without an answer tells of the version, not of its caller."""
-        baseline_s = session.admission.limit.baseline_s
+        baseline_s = session.slots.limit.baseline_s
         if baseline_s is None:
             return True
-        return call.deadline - started_at >= baseline_s * FAIR_TIME_FACTOR
+        return call.deadline - started_at >= baseline_s * SUFFICIENT_TIME_FACTOR
 
     def _refusal(self, session: TargetSession, call: Call) -> str | None:
         announcement = self.announcement
@@ -210,35 +210,35 @@
         self._metrics.sheds.inc({"service": call.service})
         return not_run(reason)
 
-    def _tell_target(self) -> None:
+    def _notify_target_change(self) -> None:
         if self.announcement is None:
-            self._on_target(None)
+            self._on_target_change(None)
             return
         target = self.announcement.target
         if self._draining:
             target = Target(target.service, target.version, TargetState.DRAINING, target.slots)
-        self._on_target(target)
+        self._on_target_change(target)
 
-    def _hold_session(self, announcement: Announcement) -> None:
-        held = self._session
-        if held is not None and held.matches(announcement):
+    def _ensure_session(self, announcement: Announcement) -> None:
+        current = self._session
+        if current is not None and current.matches(announcement):
             return
-        client = TargetClient(announcement, self._buffered, self._max_answer_bytes)
+        client = TargetClient(announcement, self._byte_budget, self._max_response_bytes)
         self._session = TargetSession(announcement, client)
-        if held is not None:
-            task = asyncio.get_running_loop().create_task(held.retire(RETIRE_S))
+        if current is not None:
+            task = asyncio.get_running_loop().create_task(current.retire(RETIRE_TIMEOUT_S))
             self._retiring.add(task)
             task.add_done_callback(self._retiring.discard)
 
     async def _check(self) -> None:
         if self._session is not None:
-            admission = self._session.admission
+            slots = self._session.slots
             self._metrics.observe_admission(
-                admission.queued, admission.active, admission.lingering, admission.capacity
+                slots.queued, slots.active, slots.lingering, slots.capacity
             )
         if self.announcement is None:
             return
         if asyncio.get_running_loop().time() - self._renewed_at > ANNOUNCEMENT_TTL_S:
             logger.warning("target did not renew its announcement")
             self.announcement = None
-            self._tell_target()
+            self._notify_target_change()
--- a/src/bulrushflow/targets/client.py
+++ b/src/bulrushflow/targets/client.py
@@ -23,7 +23,7 @@
 """How many times this call, or the call that led to it, was sent before; absent for none."""
 OUTCOME_HEADER = "x-outcome"
 NOT_RUN_VALUE = "not-run"
-REUSE_S = 4.0
+KEEPALIVE_TIMEOUT_S = 4.0
 """Idle time after which a connection is not used again.
 
 It is below the keep-alive timeout of common servers: a connection that the target closes at the
@@ -31,7 +31,7 @@
 """
 
 _SHED_STATUSES = frozenset({429, 503})
-_DROPPED_ANSWER_HEADERS = HOP_BY_HOP_HEADERS | {OUTCOME_HEADER}
+_DROPPED_RESPONSE_HEADERS = HOP_BY_HOP_HEADERS | {OUTCOME_HEADER}
 _NO_TIMEOUT = aiohttp.ClientTimeout(total=None)
 
 
@@ -43,14 +43,16 @@
     """
 
     def __init__(
-        self, announcement: Announcement, buffered: ByteBudget, max_answer_bytes: int
+        self, announcement: Announcement, byte_budget: ByteBudget, max_response_bytes: int
     ) -> None:
         self.unreachable = False
         """Whether the last attempt to connect failed and no answer came since."""
         self._url = announcement.url
-        self._buffered = buffered
-        self._max_answer_bytes = max_answer_bytes
-        connector = aiohttp.TCPConnector(limit=announcement.connections, keepalive_timeout=REUSE_S)
+        self._byte_budget = byte_budget
+        self._max_response_bytes = max_response_bytes
+        connector = aiohttp.TCPConnector(
+            limit=announcement.connections, keepalive_timeout=KEEPALIVE_TIMEOUT_S
+        )
         self._session = aiohttp.ClientSession(
             connector=connector,
             auto_decompress=False,
@@ -68,8 +70,8 @@
 
         A cancelled call closes its connection, which tells the target.
         """
-        left_s = call.deadline - asyncio.get_running_loop().time()
-        if left_s <= 0:
+        remaining_s = call.deadline - asyncio.get_running_loop().time()
+        if remaining_s <= 0:
             return not_run("no time left")
         try:
             async with (
@@ -77,7 +79,7 @@
                 self._session.request(
                     call.method,
                     yarl.URL(self._url + call.path, encoded=True),
-                    headers=_headers(call, left_s),
+                    headers=_headers(call, remaining_s),
                     data=call.body or None,
                     allow_redirects=False,
                 ) as response,
@@ -100,24 +102,26 @@
             response.release()
             return not_run("the target shed the call")
         expected = response.content_length
-        reserved = self._max_answer_bytes if expected is None else expected
-        if reserved > self._max_answer_bytes:
+        reserved = self._max_response_bytes if expected is None else expected
+        if reserved > self._max_response_bytes:
             response.close()
             return answer_lost("the answer is too large")
-        if not self._buffered.reserve(reserved):
+        if not self._byte_budget.reserve(reserved):
             response.close()
             return answer_lost("this node holds too many bytes for another answer")
         try:
             body = await self._read_body(response, expected)
         finally:
-            self._buffered.release(reserved)
+            self._byte_budget.release(reserved)
         if body is None:
             response.close()
             return answer_lost("the answer is too large")
-        answered = tuple(
-            (k, v) for k, v in response.headers.items() if k.lower() not in _DROPPED_ANSWER_HEADERS
+        headers = tuple(
+            (k, v)
+            for k, v in response.headers.items()
+            if k.lower() not in _DROPPED_RESPONSE_HEADERS
         )
-        return Response(response.status, answered, body).as_result()
+        return Response(response.status, headers, body).as_result()
 
     async def _read_body(
         self, response: aiohttp.ClientResponse, expected: int | None
@@ -127,17 +131,17 @@
         chunks = bytearray()
         async for chunk in response.content.iter_any():
             chunks += chunk
-            if len(chunks) > self._max_answer_bytes:
+            if len(chunks) > self._max_response_bytes:
                 return None
         return bytes(chunks)
 
 
-def _headers(call: Call, left_s: float) -> list[tuple[str, str]]:
+def _headers(call: Call, remaining_s: float) -> list[tuple[str, str]]:
     headers = [
         *call.headers,
         (REQUEST_ID_HEADER, call.request_id),
         (TENANT_HEADER, call.tenant),
-        (TIMEOUT_HEADER, str(max(1, int(left_s * 1000)))),
+        (TIMEOUT_HEADER, str(max(1, int(remaining_s * 1000)))),
     ]
     if call.attempt:
         headers.append((ATTEMPT_HEADER, str(call.attempt)))
--- a/src/bulrushflow/targets/session.py
+++ b/src/bulrushflow/targets/session.py
@@ -18,7 +18,7 @@
 
     def __init__(self, announcement: Announcement, client: TargetClient) -> None:
         self.announcement = announcement
-        self.admission = SlotPool(announcement.slots, announcement.connections)
+        self.slots = SlotPool(announcement.slots, announcement.connections)
         self._client = client
         self._idle = asyncio.Event()
         self._idle.set()
@@ -30,13 +30,13 @@
 
     def matches(self, announcement: Announcement) -> bool:
         """Tell whether an announcement comes from the same target process."""
-        held = self.announcement
+        current = self.announcement
         return (
-            held.url == announcement.url
-            and held.service == announcement.service
-            and held.version == announcement.version
-            and held.slots == announcement.slots
-            and held.connections == announcement.connections
+            current.url == announcement.url
+            and current.service == announcement.service
+            and current.version == announcement.version
+            and current.slots == announcement.slots
+            and current.connections == announcement.connections
         )
 
     async def send(self, call: Call) -> CallResult:
@@ -46,7 +46,7 @@
             return await self._client.send(call)
         finally:
             # The slot of this call is still held here.
-            if self.admission.active <= 1:
+            if self.slots.active <= 1:
                 self._idle.set()
 
     async def wait_idle(self) -> None:
@@ -55,7 +55,7 @@
 
     async def retire(self, timeout_s: float) -> None:
         """Wait for the calls in flight, then close the connections."""
-        self.admission.refuse_queued("the target was replaced")
+        self.slots.refuse_queued("the target was replaced")
         try:
             await asyncio.wait_for(self._idle.wait(), timeout_s)
         except TimeoutError:
--- a/src/bulrushflow/targets/slots.py
+++ b/src/bulrushflow/targets/slots.py
@@ -6,15 +6,15 @@
 from bulrushflow.routing.limits import ConcurrencyLimit
 from bulrushflow.routing.queues import FairQueue
 
-QUEUED_PER_SLOT = 2
-SERVICE_SMOOTHING = 0.1
+MAX_QUEUED_PER_SLOT = 2
+SERVICE_TIME_SMOOTHING = 0.1
 """Weight of the newest call in the smoothed service time."""
 MIN_LINGER_S = 0.01
 MAX_LINGER_S = 1.0
 LINGER_FACTOR = 2.0
 """Smoothed service times after which an abandoned call's slot counts as free."""
 
-Refusal = str
+RefusalReason = str
 
 
 class SlotPool:
@@ -28,10 +28,12 @@
     def __init__(self, slots: int, connections: int) -> None:
         self.active = 0
         self.lingering = 0
-        self.service_s = 0.0
+        self.service_time_s = 0.0
         self._max_running = min(slots, connections)
         self.limit = ConcurrencyLimit(self._max_running)
-        self._queue: FairQueue[asyncio.Future[Refusal | None]] = FairQueue(slots * QUEUED_PER_SLOT)
+        self._queue: FairQueue[asyncio.Future[RefusalReason | None]] = FairQueue(
+            slots * MAX_QUEUED_PER_SLOT
+        )
 
     @property
     def occupied(self) -> int:
@@ -55,26 +57,26 @@
         self.active += 1
         return True
 
-    async def acquire(self, tenant: str, deadline: float) -> Refusal | None:
+    async def acquire(self, tenant: str, deadline: float) -> RefusalReason | None:
         """Wait for a slot in the queue; return why none was had, or ``None`` with a slot."""
         loop = asyncio.get_running_loop()
-        wait_s = self._queue.estimated_wait_s(tenant, self.service_s, self.capacity)
-        if loop.time() + wait_s + self.service_s >= deadline:
+        wait_s = self._queue.estimated_wait_s(tenant, self.service_time_s, self.capacity)
+        if loop.time() + wait_s + self.service_time_s >= deadline:
             return "the queue is too long for the deadline"
-        granted: asyncio.Future[Refusal | None] = loop.create_future()
-        evicted = self._queue.push(granted, tenant, deadline)
-        if evicted is granted:
+        grant: asyncio.Future[RefusalReason | None] = loop.create_future()
+        evicted = self._queue.push(grant, tenant, deadline)
+        if evicted is grant:
             return "the queue is full"
         if evicted is not None and not evicted.done():
             evicted.set_result("gave way in the queue to another tenant")
         try:
             async with asyncio.timeout_at(deadline):
-                return await granted
+                return await grant
         except TimeoutError:
-            self._abandon(granted)
+            self._withdraw(grant)
             return "the deadline passed in the queue"
         except asyncio.CancelledError:
-            self._abandon(granted)
+            self._withdraw(grant)
             raise
 
     def release(self) -> None:
@@ -82,7 +84,7 @@
         if self.active <= 0:
             raise InvariantError("a slot was released twice")
         self.active -= 1
-        self._grant()
+        self._grant_queued()
 
     def release_abandoned(self) -> None:
         """Free the slot of a call that the target may still run, some time later."""
@@ -90,46 +92,46 @@
             raise InvariantError("a slot was released twice")
         self.active -= 1
         self.lingering += 1
-        linger_s = min(MAX_LINGER_S, max(MIN_LINGER_S, self.service_s * LINGER_FACTOR))
+        linger_s = min(MAX_LINGER_S, max(MIN_LINGER_S, self.service_time_s * LINGER_FACTOR))
         asyncio.get_running_loop().call_later(linger_s, self._end_linger)
 
     def observe(self, seconds: float) -> None:
         """Take in the service time of an answered call."""
         now = asyncio.get_running_loop().time()
-        if self.service_s:
-            self.service_s += (seconds - self.service_s) * SERVICE_SMOOTHING
+        if self.service_time_s:
+            self.service_time_s += (seconds - self.service_time_s) * SERVICE_TIME_SMOOTHING
         else:
-            self.service_s = seconds
+            self.service_time_s = seconds
         self.limit.observe(now, seconds, self.occupied)
 
     def observe_dropped(self) -> None:
         """Take in a call that the target shed, lost or did not answer in time."""
         self.limit.observe_dropped(asyncio.get_running_loop().time(), self.occupied)
 
-    def refuse_queued(self, reason: Refusal) -> None:
+    def refuse_queued(self, reason: RefusalReason) -> None:
         """Refuse every call that waits."""
-        for granted in self._queue.clear():
-            if not granted.done():
-                granted.set_result(reason)
+        for grant in self._queue.clear():
+            if not grant.done():
+                grant.set_result(reason)
 
     def _end_linger(self) -> None:
         self.lingering -= 1
-        self._grant()
+        self._grant_queued()
 
-    def _grant(self) -> None:
+    def _grant_queued(self) -> None:
         while self._queue and self.occupied < self.capacity:
             now = asyncio.get_running_loop().time()
-            granted, late = self._queue.pop(now, self.service_s)
-            for missed in late:
+            grant, expired = self._queue.pop(now, self.service_time_s)
+            for missed in expired:
                 if not missed.done():
                     missed.set_result("the deadline can't be met any more")
-            if granted is not None and not granted.done():
+            if grant is not None and not grant.done():
                 self.active += 1
-                granted.set_result(None)
+                grant.set_result(None)
 
-    def _abandon(self, granted: asyncio.Future[Refusal | None]) -> None:
-        if self._queue.remove(granted):
+    def _withdraw(self, grant: asyncio.Future[RefusalReason | None]) -> None:
+        if self._queue.remove(grant):
             return
         # The slot may have been granted in the same turn of the loop that ended the wait.
-        if granted.done() and not granted.cancelled() and granted.result() is None:
+        if grant.done() and not grant.cancelled() and grant.result() is None:
             self.release()
--- a/tests/targets/test_admission_controller.py
+++ b/tests/targets/test_admission_controller.py
@@ -23,7 +23,7 @@
 from tests.targets.servers import until
 
 
-class GatekeeperTests(unittest.IsolatedAsyncioTestCase):
+class AdmissionControllerTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.started: list[str] = []
         self.may_end = asyncio.Event()
@@ -36,7 +36,7 @@
         self.addAsyncCleanup(timers.stop)
         await timers.start()
         self.port = await self.enterAsyncContext(http_server(self.handle))
-        self.gatekeeper = AdmissionController(
+        self.controller = AdmissionController(
             timers,
             lambda service, version: self.forbidden,
             self.observe,
@@ -45,8 +45,8 @@
             ByteBudget(1 << 20),
             1 << 16,
         )
-        self.addAsyncCleanup(self.gatekeeper.close)
-        await self.gatekeeper.handle_announcement(announcement(self.port, slots=1))
+        self.addAsyncCleanup(self.controller.close)
+        await self.controller.handle_announcement(announcement(self.port, slots=1))
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         await request.read()
@@ -58,22 +58,22 @@
         self.observed.append((call.request_id, failed))
 
     async def outcome(self, call: Call) -> Outcome:
-        result = await self.gatekeeper.run(call)
+        result = await self.controller.run(call)
         return Outcome.ANSWERED if result.is_ok() else result.unwrap_err().outcome
 
-    async def test_a_second_call_waits_for_the_slot(self) -> None:
+    async def test_second_call_waits_for_the_slot(self) -> None:
         first = asyncio.create_task(self.outcome(call("1")))
         second = asyncio.create_task(self.outcome(call("2")))
-        await until(lambda: self.started == ["1"] and self.gatekeeper.load == 2)
+        await until(lambda: self.started == ["1"] and self.controller.load == 2)
         self.may_end.set()
         self.assertEqual(await asyncio.gather(first, second), [Outcome.ANSWERED] * 2)
-        self.assertEqual(self.gatekeeper.load, 0)
+        self.assertEqual(self.controller.load, 0)
 
-    async def test_a_queued_call_is_checked_again_before_it_is_sent(self) -> None:
+    async def test_queued_call_is_checked_again_before_it_is_sent(self) -> None:
         changes = {
             "taken back": lambda: setattr(self, "forbidden", True),
             "draining": lambda: asyncio.create_task(
-                self.gatekeeper.handle_announcement(
+                self.controller.handle_announcement(
                     announcement(self.port, slots=1, state="draining")
                 )
             ),
@@ -83,10 +83,10 @@
                 self.forbidden = False
                 self.started.clear()
                 self.may_end.clear()
-                await self.gatekeeper.handle_announcement(announcement(self.port, slots=1))
+                await self.controller.handle_announcement(announcement(self.port, slots=1))
                 first = asyncio.create_task(self.outcome(call("1")))
                 second = asyncio.create_task(self.outcome(call("2")))
-                await until(lambda: self.started == ["1"] and self.gatekeeper.load == 2)
+                await until(lambda: self.started == ["1"] and self.controller.load == 2)
                 change()
                 await asyncio.sleep(0)
                 self.may_end.set()
@@ -94,7 +94,7 @@
                 self.assertEqual(await second, Outcome.NOT_RUN)
                 self.assertEqual(self.started, ["1"])
 
-    async def test_moves_are_told_of_runs_only(self) -> None:
+    async def test_observer_receives_only_calls_that_ran(self) -> None:
         self.may_end.set()
         shed = {"x-outcome": "not-run"}
         cases = [
@@ -107,11 +107,11 @@
             with self.subTest(request_id):
                 self.observed.clear()
                 self.status, self.headers = status, headers
-                await self.gatekeeper.run(call(request_id))
+                await self.controller.run(call(request_id))
                 self.assertEqual(self.observed, expected)
 
-    async def test_moves_are_not_told_of_cancellations_and_refusals(self) -> None:
-        running = asyncio.create_task(self.gatekeeper.run(call("1")))
+    async def test_observer_receives_no_short_cancelled_or_refused_calls(self) -> None:
+        running = asyncio.create_task(self.controller.run(call("1")))
         await until(lambda: self.started == ["1"])
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
@@ -119,55 +119,55 @@
         self.assertEqual(await self.outcome(call("2")), Outcome.NOT_RUN)
         self.assertEqual(self.observed, [])
 
-    async def test_a_long_call_that_its_caller_gave_up_tells_its_latency(self) -> None:
-        with mock.patch.object(controller_module, "UNKNOWN_BASELINE_S", 0.0):
-            running = asyncio.create_task(self.gatekeeper.run(call("1")))
+    async def test_long_cancelled_call_is_observed_as_not_failed(self) -> None:
+        with mock.patch.object(controller_module, "DEFAULT_BASELINE_S", 0.0):
+            running = asyncio.create_task(self.controller.run(call("1")))
             await until(lambda: self.started == ["1"])
             running.cancel()
             await asyncio.gather(running, return_exceptions=True)
         self.assertEqual(self.observed, [("1", False)])
 
-    async def test_a_timeout_is_the_versions_fault_only_with_fair_time(self) -> None:
+    async def test_timeout_counts_as_failure_only_with_sufficient_time(self) -> None:
         self.assertEqual(await self.outcome(call("hang", timeout_s=0.05)), Outcome.UNKNOWN)
         self.assertEqual(self.observed, [("hang", True)])
-        session = self.gatekeeper._session
+        session = self.controller._session
         assert session is not None
         for i in range(100):
-            session.admission.limit.observe(i * 0.1, 1.0, 1)
-        await until(lambda: session.admission.lingering == 0)
+            session.slots.limit.observe(i * 0.1, 1.0, 1)
+        await until(lambda: session.slots.lingering == 0)
         self.assertEqual(await self.outcome(call("hasty", timeout_s=0.05)), Outcome.UNKNOWN)
         self.assertEqual(self.observed, [("hang", True)])
 
-    async def test_drain_refuses_what_waits_and_finishes_what_runs(self) -> None:
+    async def test_drain_refuses_queued_calls_and_completes_running_ones(self) -> None:
         first = asyncio.create_task(self.outcome(call("1")))
         second = asyncio.create_task(self.outcome(call("2")))
-        await until(lambda: self.started == ["1"] and self.gatekeeper.load == 2)
-        drain = asyncio.create_task(self.gatekeeper.drain(GUARD_S))
+        await until(lambda: self.started == ["1"] and self.controller.load == 2)
+        drain = asyncio.create_task(self.controller.drain(GUARD_S))
         self.assertEqual(await second, Outcome.NOT_RUN)
         self.assertEqual(await self.outcome(call("3")), Outcome.NOT_RUN)
         self.assertFalse(drain.done())
         self.may_end.set()
         self.assertEqual(await first, Outcome.ANSWERED)
         self.assertTrue(await drain)
-        told = self.targets[-1]
-        assert told is not None
-        self.assertIs(told.state, TargetState.DRAINING)
+        target = self.targets[-1]
+        assert target is not None
+        self.assertIs(target.state, TargetState.DRAINING)
 
-    async def test_a_target_that_takes_no_connections_is_gone_until_it_announces(self) -> None:
+    async def test_unreachable_target_is_gone_until_its_next_announcement(self) -> None:
         async with http_server(self.handle) as port:
             pass
-        await self.gatekeeper.handle_announcement(announcement(port))
+        await self.controller.handle_announcement(announcement(port))
         self.assertEqual(await self.outcome(call("1")), Outcome.NOT_RUN)
         self.assertIsNone(self.targets[-1])
-        await self.gatekeeper.handle_announcement(announcement(port))
+        await self.controller.handle_announcement(announcement(port))
         self.assertIsNotNone(self.targets[-1])
 
-    async def test_a_replaced_target_finishes_what_it_runs(self) -> None:
+    async def test_replaced_target_completes_its_running_calls(self) -> None:
         first = asyncio.create_task(self.outcome(call("1")))
         await until(lambda: self.started == ["1"])
         async with http_server(self.handle) as port:
-            await self.gatekeeper.handle_announcement(announcement(port, version="v2"))
-            self.assertEqual(self.gatekeeper.in_flight, 0)
+            await self.controller.handle_announcement(announcement(port, version="v2"))
+            self.assertEqual(self.controller.in_flight, 0)
             self.assertEqual(await self.outcome(call("2")), Outcome.NOT_RUN)
             self.may_end.set()
             self.assertEqual(await first, Outcome.ANSWERED)
--- a/tests/targets/test_client.py
+++ b/tests/targets/test_client.py
@@ -14,20 +14,20 @@
 from tests.targets.servers import http_server
 from tests.targets.servers import until
 
-MAX_ANSWER_BYTES = 1000
+MAX_RESPONSE_BYTES = 1000
 
 
 class RecordingTarget:
     """Records what reached it; fails on command."""
 
     def __init__(self) -> None:
-        self.run_ids: list[str] = []
+        self.received_ids: list[str] = []
         self.peers: list[object] = []
         self.timeouts_ms: list[int] = []
         self.cancelled = 0
         self.close_next = False
         self.hang_ids: set[str] = set()
-        self.answer = web.Response
+        self.response = web.Response
         self.outcome: tuple[int, dict[str, str]] = (200, {})
         self.size = 10
         self.chunked = False
@@ -35,7 +35,7 @@
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         await request.read()
         request_id = request.headers["x-request-id"]
-        self.run_ids.append(request_id)
+        self.received_ids.append(request_id)
         self.timeouts_ms.append(int(request.headers["x-timeout-ms"]))
         assert request.transport is not None
         self.peers.append(request.transport.get_extra_info("peername"))
@@ -50,10 +50,10 @@
                 self.cancelled += 1
                 raise
         status, headers = self.outcome
-        answer = web.Response(status=status, headers=headers, body=request_id.ljust(self.size))
+        response = web.Response(status=status, headers=headers, body=request_id.ljust(self.size))
         if self.chunked:
-            answer.enable_chunked_encoding()
-        return answer
+            response.enable_chunked_encoding()
+        return response
 
 
 class TargetClientTests(unittest.IsolatedAsyncioTestCase):
@@ -61,43 +61,43 @@
         self.target = RecordingTarget()
         server = http_server(self.target.handle)
         port = await self.enterAsyncContext(server)
-        self.buffered = ByteBudget(MAX_ANSWER_BYTES * 2)
-        self.client = TargetClient(announcement(port), self.buffered, MAX_ANSWER_BYTES)
+        self.byte_budget = ByteBudget(MAX_RESPONSE_BYTES * 2)
+        self.client = TargetClient(announcement(port), self.byte_budget, MAX_RESPONSE_BYTES)
         self.addAsyncCleanup(self.client.close)
 
     def outcome(self, result: CallResult) -> Outcome:
         return Outcome.ANSWERED if result.is_ok() else result.unwrap_err().outcome
 
-    async def test_a_post_is_never_sent_again_on_a_closed_kept_alive_connection(self) -> None:
+    async def test_post_is_not_resent_when_a_reused_connection_was_closed(self) -> None:
         self.assertTrue((await self.client.send(call("warm"))).is_ok())
         self.target.close_next = True
         result = await self.client.send(call("once"))
         self.assertIs(self.outcome(result), Outcome.UNKNOWN)
         await self.client.send(call("after"))
-        self.assertEqual(self.target.run_ids, ["warm", "once", "after"])
+        self.assertEqual(self.target.received_ids, ["warm", "once", "after"])
 
-    async def test_a_timed_out_connection_is_not_used_again(self) -> None:
+    async def test_connection_of_a_timed_out_call_is_not_reused(self) -> None:
         await self.client.send(call("warm"))
         self.target.hang_ids.add("slow")
         result = await self.client.send(call("slow", timeout_s=0.05))
         self.assertIs(self.outcome(result), Outcome.UNKNOWN)
-        answer = (await self.client.send(call("next"))).unwrap()
-        self.assertEqual(answer.body.strip(), b"next")
+        response = (await self.client.send(call("next"))).unwrap()
+        self.assertEqual(response.body.strip(), b"next")
         self.assertEqual(self.target.peers[0], self.target.peers[1])
         self.assertNotEqual(self.target.peers[1], self.target.peers[2])
 
     async def test_cancellation_closes_the_connection(self) -> None:
         self.target.hang_ids.add("slow")
         sending = asyncio.create_task(self.client.send(call("slow")))
-        await until(lambda: self.target.run_ids == ["slow"])
+        await until(lambda: self.target.received_ids == ["slow"])
         sending.cancel()
         await until(lambda: self.target.cancelled == 1)
 
-    async def test_the_deadline_is_passed_on(self) -> None:
+    async def test_remaining_time_is_sent_to_the_target(self) -> None:
         await self.client.send(call(timeout_s=2.0))
         self.assertTrue(0 < self.target.timeouts_ms[0] <= 2000)
 
-    async def test_only_a_shed_status_with_the_header_certifies_not_run(self) -> None:
+    async def test_not_run_requires_a_shed_status_and_the_header(self) -> None:
         cases = [
             (503, {"x-outcome": "not-run"}, Outcome.NOT_RUN),
             (429, {"x-outcome": "not-run"}, Outcome.NOT_RUN),
@@ -113,27 +113,27 @@
                 if result.is_ok():
                     self.assertNotIn("x-outcome", dict(result.unwrap().headers))
 
-    async def test_answers_are_whole_or_stated_lost(self) -> None:
+    async def test_responses_are_complete_or_reported_lost(self) -> None:
         cases = [
-            (MAX_ANSWER_BYTES, False, Outcome.ANSWERED),
-            (MAX_ANSWER_BYTES, True, Outcome.ANSWERED),
-            (MAX_ANSWER_BYTES + 1, False, Outcome.ANSWER_LOST),
-            (MAX_ANSWER_BYTES + 1, True, Outcome.ANSWER_LOST),
+            (MAX_RESPONSE_BYTES, False, Outcome.ANSWERED),
+            (MAX_RESPONSE_BYTES, True, Outcome.ANSWERED),
+            (MAX_RESPONSE_BYTES + 1, False, Outcome.ANSWER_LOST),
+            (MAX_RESPONSE_BYTES + 1, True, Outcome.ANSWER_LOST),
         ]
         for size, chunked, expected in cases:
             with self.subTest(size=size, chunked=chunked):
                 self.target.size, self.target.chunked = size, chunked
                 result = await self.client.send(call())
                 self.assertIs(self.outcome(result), expected)
-                self.assertEqual(self.buffered.used_bytes, 0)
+                self.assertEqual(self.byte_budget.used_bytes, 0)
 
-    async def test_an_answer_beyond_the_budget_is_stated_lost(self) -> None:
-        self.buffered.reserve(MAX_ANSWER_BYTES * 2)
+    async def test_response_beyond_the_byte_budget_is_reported_lost(self) -> None:
+        self.byte_budget.reserve(MAX_RESPONSE_BYTES * 2)
         self.assertIs(self.outcome(await self.client.send(call())), Outcome.ANSWER_LOST)
 
-    async def test_no_connection_certifies_not_run(self) -> None:
+    async def test_call_without_a_connection_is_not_run(self) -> None:
         async with http_server(self.target.handle) as port:
             pass
-        client = TargetClient(announcement(port), self.buffered, MAX_ANSWER_BYTES)
+        client = TargetClient(announcement(port), self.byte_budget, MAX_RESPONSE_BYTES)
         self.addAsyncCleanup(client.close)
         self.assertIs(self.outcome(await client.send(call())), Outcome.NOT_RUN)
--- a/tests/targets/test_slots.py
+++ b/tests/targets/test_slots.py
@@ -14,98 +14,100 @@
 from tests.targets.servers import until
 
 
-def full_admission(slots: int = 2) -> SlotPool:
+def full_pool(slots: int = 2) -> SlotPool:
     """Return an admission whose slots are all taken."""
-    admission = SlotPool(slots, slots)
-    while admission.try_acquire():
+    pool = SlotPool(slots, slots)
+    while pool.try_acquire():
         pass
-    return admission
+    return pool
 
 
-class AdmissionTests(unittest.IsolatedAsyncioTestCase):
+class SlotPoolTests(unittest.IsolatedAsyncioTestCase):
     def deadline(self, left_s: float = GUARD_S) -> float:
         return asyncio.get_running_loop().time() + left_s
 
-    async def test_a_release_hands_the_slot_to_the_next_in_turn(self) -> None:
-        admission = full_admission(2)
-        waits = [asyncio.create_task(admission.acquire(x, self.deadline())) for x in "ab"]
-        await until(lambda: admission.queued == 2)
-        admission.release()
+    async def test_released_slot_goes_to_the_next_queued_call(self) -> None:
+        pool = full_pool(2)
+        waits = [asyncio.create_task(pool.acquire(x, self.deadline())) for x in "ab"]
+        await until(lambda: pool.queued == 2)
+        pool.release()
         self.assertIsNone(await waits[0])
         self.assertFalse(waits[1].done())
-        self.assertFalse(admission.try_acquire())
-        admission.release()
+        self.assertFalse(pool.try_acquire())
+        pool.release()
         self.assertIsNone(await waits[1])
 
-    async def test_refuses_what_the_queue_would_make_late(self) -> None:
-        admission = full_admission(2)
-        admission.service_s = 100.0
-        refusal = await admission.acquire("a", self.deadline())
+    async def test_call_that_would_miss_its_deadline_in_the_queue_is_refused(self) -> None:
+        pool = full_pool(2)
+        pool.service_time_s = 100.0
+        refusal = await pool.acquire("a", self.deadline())
         self.assertEqual(refusal, "the queue is too long for the deadline")
 
-    async def test_a_deadline_ends_the_wait_while_every_slot_is_stuck(self) -> None:
-        admission = full_admission(2)
-        refusal = await admission.acquire("a", self.deadline(0.01))
+    async def test_queued_call_is_refused_at_its_deadline(self) -> None:
+        pool = full_pool(2)
+        refusal = await pool.acquire("a", self.deadline(0.01))
         self.assertEqual(refusal, "the deadline passed in the queue")
-        self.assertEqual(admission.queued, 0)
-
-    async def test_a_stuck_target_builds_no_endless_queue(self) -> None:
-        admission = full_admission(2)
-        waits = [asyncio.create_task(admission.acquire("a", self.deadline())) for _ in range(50)]
-        await until(lambda: sum(wait.done() for wait in waits) == 50 - admission.queued)
-        self.assertEqual(admission.queued, 4)
-        admission.refuse_queued("stopped")
+        self.assertEqual(pool.queued, 0)
+
+    async def test_queue_of_a_hanging_target_is_bounded(self) -> None:
+        pool = full_pool(2)
+        waits = [asyncio.create_task(pool.acquire("a", self.deadline())) for _ in range(50)]
+        await until(lambda: sum(wait.done() for wait in waits) == 50 - pool.queued)
+        self.assertEqual(pool.queued, 4)
+        pool.refuse_queued("stopped")
         self.assertEqual((await asyncio.gather(*waits)).count("stopped"), 4)
 
-    async def test_an_abandoned_calls_slot_is_not_free_at_once(self) -> None:
-        admission = full_admission(2)
-        admission.release_abandoned()
-        self.assertEqual((admission.active, admission.lingering), (1, 1))
-        self.assertFalse(admission.try_acquire())
-        await until(lambda: admission.lingering == 0)
-        self.assertTrue(admission.try_acquire())
-
-    async def test_a_wait_cancelled_as_its_slot_is_granted_gives_the_slot_back(self) -> None:
-        admission = full_admission(2)
-        wait = asyncio.create_task(admission.acquire("a", self.deadline()))
-        await until(lambda: admission.queued == 1)
-        admission.release()
+    async def test_slot_of_an_abandoned_call_lingers(self) -> None:
+        pool = full_pool(2)
+        pool.release_abandoned()
+        self.assertEqual((pool.active, pool.lingering), (1, 1))
+        self.assertFalse(pool.try_acquire())
+        await until(lambda: pool.lingering == 0)
+        self.assertTrue(pool.try_acquire())
+
+    async def test_slot_granted_to_a_cancelled_wait_is_released(self) -> None:
+        pool = full_pool(2)
+        wait = asyncio.create_task(pool.acquire("a", self.deadline()))
+        await until(lambda: pool.queued == 1)
+        pool.release()
         wait.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await wait
-        self.assertEqual((admission.active, admission.queued), (1, 0))
+        self.assertEqual((pool.active, pool.queued), (1, 0))
 
-    async def test_releasing_twice_is_a_broken_invariant(self) -> None:
+    async def test_release_without_an_active_slot_raises_invariant_error(self) -> None:
         with self.assertRaises(InvariantError):
             SlotPool(1, 1).release()
 
 
-class AdmissionPropertyTests(unittest.TestCase):
+class SlotPoolPropertyTests(unittest.TestCase):
     @settings(max_examples=30)
     @given(st.integers(0, 2**32), st.integers(1, 4))
-    def test_slots_are_exact_whatever_is_cancelled(self, seed: int, slots: int) -> None:
+    def test_slots_are_never_exceeded_or_leaked_under_cancellation(
+        self, seed: int, slots: int
+    ) -> None:
         asyncio.run(self._race(random.Random(seed), slots))
 
     async def _race(self, rng: random.Random, slots: int) -> None:
-        admission = SlotPool(slots, slots)
+        pool = SlotPool(slots, slots)
         running = 0
 
         async def run() -> None:
             nonlocal running
             deadline = asyncio.get_running_loop().time() + rng.choice([0.0, 0.002, GUARD_S])
-            granted = admission.try_acquire()
-            if not granted and await admission.acquire(rng.choice("ab"), deadline) is not None:
+            granted = pool.try_acquire()
+            if not granted and await pool.acquire(rng.choice("ab"), deadline) is not None:
                 return
             running += 1
-            self.assertLessEqual(running + admission.lingering, slots)
+            self.assertLessEqual(running + pool.lingering, slots)
             try:
                 await asyncio.sleep(rng.choice([0.0, 0.001]))
             except asyncio.CancelledError:
                 running -= 1
-                admission.release_abandoned()
+                pool.release_abandoned()
                 raise
             running -= 1
-            admission.release()
+            pool.release()
 
         tasks = []
         for _ in range(30):
@@ -117,5 +119,5 @@
         for task in tasks:
             if not task.cancelled():
                 self.assertIsNone(task.exception())
-        await until(lambda: admission.occupied == 0)
-        self.assertEqual((admission.queued, running), (0, 0))
+        await until(lambda: pool.occupied == 0)
+        self.assertEqual((pool.queued, running), (0, 0))
