--- a/src/bulrushflow/callers/responses.py
+++ b/src/bulrushflow/callers/responses.py
@@ -30,33 +30,33 @@
 }
 
 
-def response(call: Call, result: CallResult) -> web.Response:
+def to_http_response(call: Call, result: CallResult) -> web.Response:
     """Return the answer to a caller for a call's outcome."""
     match result:
-        case Ok(answer):
-            headers = CIMultiDict(answer.headers)
+        case Ok(response):
+            headers = CIMultiDict(response.headers)
             headers[REQUEST_ID_HEADER] = call.request_id
-            return web.Response(status=answer.status, headers=headers, body=answer.body)
+            return web.Response(status=response.status, headers=headers, body=response.body)
         case Err(failure):
-            return _failure(call, failure)
+            return _failure_response(call, failure)
 
 
-def refusal(status: int, reason: str, close: bool = False) -> web.Response:
+def refusal_response(status: int, reason: str, close: bool = False) -> web.Response:
     """Return the answer to a request that is no call or is refused before it is routed.
 
     :param close: close the caller's connection after the answer.
     """
-    answer = web.json_response({"error": reason}, status=status)
-    answer.headers[OUTCOME_HEADER] = NOT_RUN_VALUE
+    response = web.json_response({"error": reason}, status=status)
+    response.headers[OUTCOME_HEADER] = NOT_RUN_VALUE
     if close:
-        answer.force_close()
-    return answer
+        response.force_close()
+    return response
 
 
-def _failure(call: Call, failure: CallFailure) -> web.Response:
-    answer = web.json_response(
+def _failure_response(call: Call, failure: CallFailure) -> web.Response:
+    response = web.json_response(
         {"error": failure.reason}, status=_STATUS_BY_OUTCOME[failure.outcome]
     )
-    answer.headers[OUTCOME_HEADER] = _VALUE_BY_OUTCOME[failure.outcome]
-    answer.headers[REQUEST_ID_HEADER] = call.request_id
-    return answer
+    response.headers[OUTCOME_HEADER] = _VALUE_BY_OUTCOME[failure.outcome]
+    response.headers[REQUEST_ID_HEADER] = call.request_id
+    return response
--- a/src/bulrushflow/callers/server.py
+++ b/src/bulrushflow/callers/server.py
@@ -12,8 +12,8 @@
 from bulrushflow.bodies import expected_bytes
 from bulrushflow.bodies import read_body
 from bulrushflow.callers.dispatcher import Dispatcher
-from bulrushflow.callers.responses import refusal
-from bulrushflow.callers.responses import response
+from bulrushflow.callers.responses import refusal_response
+from bulrushflow.callers.responses import to_http_response
 from bulrushflow.configuration import Configuration
 from bulrushflow.configuration import ConfigurationStore
 from bulrushflow.configuration import Route
@@ -31,7 +31,7 @@
 from bulrushflow.targets.client import TIMEOUT_HEADER
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE"})
-OWN_HEADERS = HOP_BY_HOP_HEADERS | {
+STRIPPED_REQUEST_HEADERS = HOP_BY_HOP_HEADERS | {
     ATTEMPT_HEADER,
     "expect",
     REQUEST_ID_HEADER,
@@ -43,9 +43,9 @@
 MAX_NUMBER_DIGITS = 9
 WRITE_TIMEOUT_S = 10.0
 """A caller that takes longer to read its answer loses its connection."""
-QUIET_S = 0.5
+DRAIN_QUIET_S = 0.5
 """A leaving node closes its callers' connections after no request came for so long."""
-QUIET_POLL_S = 0.05
+DRAIN_POLL_S = 0.05
 
 
 class CallerServer:
@@ -60,18 +60,18 @@
         dispatcher: Dispatcher,
         metrics: Metrics,
         settings: CallSettings,
-        buffered: ByteBudget,
+        byte_budget: ByteBudget,
         is_ready: t.Callable[[], bool],
     ) -> None:
         self._store = store
         self._dispatcher = dispatcher
         self._metrics = metrics
         self._settings = settings
-        self._buffered = buffered
+        self._byte_budget = byte_budget
         self._is_ready = is_ready
         self._in_flight = 0
         self._draining = False
-        self._asked_at = 0.0
+        self._last_refused_at = 0.0
 
     def server(self) -> web.Server:
         """Return the low-level HTTP server. A caller that disconnects cancels its call."""
@@ -89,70 +89,72 @@
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         while loop.time() - started_at < timeout_s:
-            quiet_s = loop.time() - max(self._asked_at, started_at)
-            if self._in_flight == 0 and quiet_s >= QUIET_S:
+            quiet_s = loop.time() - max(self._last_refused_at, started_at)
+            if self._in_flight == 0 and quiet_s >= DRAIN_QUIET_S:
                 return True
-            await asyncio.sleep(QUIET_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_S)
         return self._in_flight == 0
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if self._draining or not self._is_ready():
-            self._asked_at = asyncio.get_running_loop().time()
-            return refusal(503, "this node takes no calls now", close=True)
+            self._last_refused_at = asyncio.get_running_loop().time()
+            return refusal_response(503, "this node takes no calls now", close=True)
         if self._in_flight >= self._settings.max_in_flight:
-            return refusal(503, "this node has too many calls in flight")
+            return refusal_response(503, "this node has too many calls in flight")
         self._in_flight += 1
         try:
-            answer = await self._route(request)
+            response = await self._handle_call(request)
             if self._draining:
-                answer.force_close()
+                response.force_close()
             # Written here, not by the server afterwards, so that a drain waits for it.
-            return await self._write(request, answer)
+            return await self._write(request, response)
         finally:
             self._in_flight -= 1
 
-    async def _write(self, request: web.BaseRequest, answer: web.Response) -> web.Response:
-        size = answer.content_length or 0
-        self._buffered.force_reserve(size)
+    async def _write(self, request: web.BaseRequest, response: web.Response) -> web.Response:
+        size = response.content_length or 0
+        self._byte_budget.force_reserve(size)
         try:
             async with asyncio.timeout(WRITE_TIMEOUT_S):
-                await answer.prepare(request)
-                await answer.write_eof()
+                await response.prepare(request)
+                await response.write_eof()
         except TimeoutError:
             logger.warning("a caller did not read its answer within {} s", WRITE_TIMEOUT_S)
             if request.transport is not None:
                 request.transport.abort()
         finally:
-            self._buffered.release(size)
-        return answer
+            self._byte_budget.release(size)
+        return response
 
-    async def _route(self, request: web.BaseRequest) -> web.Response:
+    async def _handle_call(self, request: web.BaseRequest) -> web.Response:
         started_at = asyncio.get_running_loop().time()
         configuration = self._store.current
         route = match_route(configuration, request.path)
         if route is None:
-            return refusal(404, f"no route for {request.path}")
-        if not _is_text(request):
-            return refusal(400, "the headers are not UTF-8")
+            return refusal_response(404, f"no route for {request.path}")
+        if not _is_utf8(request):
+            return refusal_response(400, "the headers are not UTF-8")
         max_bytes = self._settings.max_body_bytes
         reserved = expected_bytes(request, max_bytes)
         if reserved > max_bytes:
-            return refusal(413, "the body is too large", close=True)
-        if not self._buffered.reserve(reserved):
-            return refusal(503, "this node holds too many bytes for another body", close=True)
+            return refusal_response(413, "the body is too large", close=True)
+        if not self._byte_budget.reserve(reserved):
+            return refusal_response(
+                503, "this node holds too many bytes for another body", close=True
+            )
         try:
             async with asyncio.timeout_at(started_at + route.timeout_ms / 1000):
                 read = await read_body(request, max_bytes)
             match read:
                 case Err(reason):
-                    return refusal(413, reason, close=True)
+                    return refusal_response(413, reason, close=True)
                 case Ok(body):
-                    call = _call(request, route, body, started_at)
+                    call = _build_call(request, route, body, started_at)
                     return await self._run(configuration, call, started_at)
         except TimeoutError:
-            return refusal(408, "the body did not arrive in time", close=True)
+            return refusal_response(408, "the body did not arrive in time", close=True)
         finally:
-            self._buffered.release(reserved)
+            self._byte_budget.release(reserved)
 
     async def _run(
         self, configuration: Configuration, call: Call, started_at: float
@@ -160,7 +162,7 @@
         result = await self._dispatch(configuration, call)
         seconds = asyncio.get_running_loop().time() - started_at
         self._metrics.observe_call(call.tenant, call.service, outcome_label(result), seconds)
-        return response(call, result)
+        return to_http_response(call, result)
 
     async def _dispatch(self, configuration: Configuration, call: Call) -> CallResult:
         try:
@@ -170,7 +172,7 @@
             raise
 
 
-def _call(request: web.BaseRequest, route: Route, body: bytes, started_at: float) -> Call:
+def _build_call(request: web.BaseRequest, route: Route, body: bytes, started_at: float) -> Call:
     headers = request.headers
     return Call(
         request_id=headers.get(REQUEST_ID_HEADER) or uuid.uuid4().hex,
@@ -180,22 +182,24 @@
         route=route.path,
         method=request.method,
         path=request.raw_path,
-        headers=tuple((k, v) for k, v in headers.items() if k.lower() not in OWN_HEADERS),
+        headers=tuple(
+            (k, v) for k, v in headers.items() if k.lower() not in STRIPPED_REQUEST_HEADERS
+        ),
         body=body,
-        deadline=started_at + _number(headers.get(TIMEOUT_HEADER), route.timeout_ms) / 1000,
+        deadline=started_at + _parse_number(headers.get(TIMEOUT_HEADER), route.timeout_ms) / 1000,
         idempotent=request.method in IDEMPOTENT_METHODS or route.is_idempotent(request.method),
-        attempt=min(MAX_ATTEMPT, _number(headers.get(ATTEMPT_HEADER), MAX_ATTEMPT, 0)),
+        attempt=min(MAX_ATTEMPT, _parse_number(headers.get(ATTEMPT_HEADER), MAX_ATTEMPT, 0)),
     )
 
 
-def _number(text: str | None, limit: int, default: int | None = None) -> int:
+def _parse_number(text: str | None, limit: int, default: int | None = None) -> int:
     """Read a header's number, at most ``limit``; the default, or else the limit, without one."""
     if text is None or not (text.isascii() and text.isdigit()):
         return limit if default is None else default
     return limit if len(text) > MAX_NUMBER_DIGITS else min(limit, int(text))
 
 
-def _is_text(request: web.BaseRequest) -> bool:
+def _is_utf8(request: web.BaseRequest) -> bool:
     # The HTTP library escapes other bytes, and refuses to send them on.
     try:
         "".join(request.headers.values()).encode()
--- a/tests/callers/test_server.py
+++ b/tests/callers/test_server.py
@@ -30,7 +30,7 @@
 MAX_BODY_BYTES = 1000
 
 
-class HeldStore:
+class StubStore:
     """A store with one configuration."""
 
     def __init__(self, current: Configuration) -> None:
@@ -64,15 +64,15 @@
         configuration = Configuration(
             services_by_name={"payments": Service("payments", "v1")}, routes_by_path=self.routes
         )
-        store = t.cast(ConfigurationStore, HeldStore(configuration))
+        store = t.cast(ConfigurationStore, StubStore(configuration))
         self.dispatcher = FakeDispatcher()
-        self.buffered = ByteBudget(MAX_BODY_BYTES * 2)
+        self.byte_budget = ByteBudget(MAX_BODY_BYTES * 2)
         self.callers = CallerServer(
             store,
             self.dispatcher,  # type: ignore
             Metrics(10),
             CallSettings(max_body_bytes=MAX_BODY_BYTES),
-            self.buffered,
+            self.byte_budget,
             lambda: True,
         )
         self.runner = web.ServerRunner(self.callers.server(), shutdown_timeout=0.1)
@@ -84,10 +84,10 @@
         self.addAsyncCleanup(self.session.close)
 
     async def post(self, **options: t.Any) -> tuple[int, str | None, bytes]:
-        async with self.session.post(self.url, **options) as answer:
-            return answer.status, answer.headers.get("x-outcome"), await answer.read()
+        async with self.session.post(self.url, **options) as response:
+            return response.status, response.headers.get("x-outcome"), await response.read()
 
-    async def test_outcomes_are_stated(self) -> None:
+    async def test_outcomes_map_to_status_and_header(self) -> None:
         cases: list[tuple[CallResult, int, str | None]] = [
             (Response(500, (), b"").as_result(), 500, None),
             (not_run(""), 503, "not-run"),
@@ -100,7 +100,7 @@
                 self.dispatcher.result = result
                 self.assertEqual((await self.post())[:2], (status, value))
 
-    async def test_bodies_are_whole_or_refused_before_the_call_runs(self) -> None:
+    async def test_bodies_are_complete_or_refused_before_dispatch(self) -> None:
         async def chunks(size: int) -> t.AsyncIterator[bytes]:
             for _ in range(size // 100):
                 yield bytes(100)
@@ -120,24 +120,24 @@
                 if status == 200:
                     self.assertEqual(got[2], bytes(MAX_BODY_BYTES))
                 self.assertEqual(len(self.dispatcher.calls), status == 200)
-                await until(lambda: self.buffered.used_bytes == 0)
+                await until(lambda: self.byte_budget.used_bytes == 0)
 
-    async def test_a_body_beyond_the_nodes_budget_is_refused(self) -> None:
-        self.buffered.reserve(MAX_BODY_BYTES * 2 - 1)
+    async def test_body_beyond_the_byte_budget_is_refused(self) -> None:
+        self.byte_budget.reserve(MAX_BODY_BYTES * 2 - 1)
         self.assertEqual((await self.post(data=b"12"))[:2], (503, "not-run"))
         self.assertEqual((await self.post(data=b"1"))[0], 200)
 
-    async def test_a_body_that_does_not_arrive_in_time_is_refused(self) -> None:
+    async def test_body_that_does_not_arrive_in_time_is_refused(self) -> None:
         async def stall() -> t.AsyncIterator[bytes]:
             yield b"begin"
             await asyncio.Event().wait()
 
         self.routes["/payments"] = Route("/payments", "payments", timeout_ms=10)
         self.assertEqual((await self.post(data=stall()))[:2], (408, "not-run"))
-        await until(lambda: self.buffered.used_bytes == 0)
+        await until(lambda: self.byte_budget.used_bytes == 0)
         self.assertEqual(self.dispatcher.calls, [])
 
-    async def test_a_caller_that_does_not_read_loses_its_connection(self) -> None:
+    async def test_connection_of_a_caller_that_does_not_read_is_closed(self) -> None:
         large = Response(200, (), bytes(64 << 20)).as_result()
         self.dispatcher.result = large
         with mock.patch.object(server_module, "WRITE_TIMEOUT_S", 0.05):
@@ -145,23 +145,23 @@
                 "127.0.0.1", self.runner.addresses[0][1], limit=1
             )
             writer.write(b"POST /payments/7 HTTP/1.1\r\nhost: a\r\n\r\n")
-            await until(lambda: self.buffered.used_bytes > 0)
+            await until(lambda: self.byte_budget.used_bytes > 0)
             self.assertEqual(self.callers._in_flight, 1)
-            await until(lambda: self.buffered.used_bytes == 0)
+            await until(lambda: self.byte_budget.used_bytes == 0)
         writer.close()
         self.assertTrue(await self.callers.drain(GUARD_S))
 
-    async def test_a_body_that_waits_for_leave_to_send_gets_it(self) -> None:
+    async def test_expect_continue_is_answered(self) -> None:
         self.assertEqual((await self.post(data=b"whole", expect100=True))[2], b"whole")
 
-    async def test_a_caller_that_disconnects_cancels_its_call(self) -> None:
+    async def test_disconnected_callers_call_is_cancelled(self) -> None:
         self.dispatcher.may_end.clear()
         posting = asyncio.create_task(self.post())
         await until(lambda: len(self.dispatcher.calls) == 1)
         posting.cancel()
         await until(lambda: self.dispatcher.cancelled == 1)
 
-    async def test_deadlines_and_attempts_are_read(self) -> None:
+    async def test_timeout_and_attempt_headers_are_bounded(self) -> None:
         cases = [
             ({}, 2.0, 0),
             ({"x-timeout-ms": "500", "x-attempt": "2"}, 0.5, 2),
@@ -177,7 +177,7 @@
                 self.assertTrue(before <= call.deadline - timeout_s <= after)
                 self.assertEqual(call.attempt, attempt)
 
-    async def test_the_route_says_which_methods_are_idempotent(self) -> None:
+    async def test_route_defines_idempotent_methods(self) -> None:
         cases = {(): False, ("PATCH", "POST"): True}
         for methods, idempotent in cases.items():
             with self.subTest(methods=methods):
@@ -187,23 +187,23 @@
                 await self.post()
                 self.assertEqual(self.dispatcher.calls[-1].idempotent, idempotent)
 
-    async def test_headers_that_cannot_be_sent_on_are_refused(self) -> None:
+    async def test_headers_that_cannot_be_forwarded_are_refused(self) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.runner.addresses[0][1])
         writer.write(b"POST /payments/7 HTTP/1.1\r\nhost: a\r\nnote: \xff\r\n\r\n")
         self.assertIn(b" 400 ", await reader.readline())
         writer.close()
         self.assertEqual(self.dispatcher.calls, [])
 
-    async def test_drain_answers_everyone_and_closes_kept_alive_connections(self) -> None:
+    async def test_drain_completes_calls_and_closes_kept_alive_connections(self) -> None:
         self.assertEqual((await self.post())[0], 200)
         self.dispatcher.may_end.clear()
         posting = asyncio.create_task(self.post())
         await until(lambda: len(self.dispatcher.calls) == 2)
         drain = asyncio.create_task(self.callers.drain(GUARD_S))
         await asyncio.sleep(0)
-        async with self.session.post(self.url) as answer:
-            self.assertEqual((answer.status, answer.headers["connection"]), (503, "close"))
-            self.assertEqual(answer.headers["x-outcome"], "not-run")
+        async with self.session.post(self.url) as response:
+            self.assertEqual((response.status, response.headers["connection"]), (503, "close"))
+            self.assertEqual(response.headers["x-outcome"], "not-run")
         self.assertFalse(drain.done())
         self.dispatcher.may_end.set()
         self.assertEqual((await posting)[0], 200)
