--- a/src/bulrushflow/routing/__init__.py
+++ b/src/bulrushflow/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions on calls, free of I/O: routes, choice of targets, retries."""
+"""Routing decisions without I/O: routes, load balancing, limits, queues and retries."""
 
 from bulrushflow.routing.limits import ByteBudget
 from bulrushflow.routing.limits import ConcurrencyLimit
--- a/src/bulrushflow/routing/balancer.py
+++ b/src/bulrushflow/routing/balancer.py
@@ -1,4 +1,4 @@
-"""Choice among the ready targets of a service version."""
+"""Load balancing among the ready targets of a service version."""
 
 import random
 import typing as t
@@ -7,27 +7,27 @@
 from bulrushflow.membership import Member
 
 OWN_TARGET_MAX_LOAD = 0.7
-"""Load per slot below which the own target is taken, which saves a hop."""
+"""Load per slot below which the node's own target is preferred, which saves a network hop."""
 LOAD_HALF_LIFE_S = 1.0
-"""Time in which a reported load loses half of its weight."""
+"""Time in which the weight of a reported load halves."""
 REPORT_TTL_S = 10.0
 
 
 @dataclass(slots=True)
 class _ReportedLoad:
-    """Calls per slot that a node reported, or was taken to have after it failed."""
+    """Calls per slot that a node reported, or that were assumed after it failed a call."""
 
     load: float
     reported_at: float
 
 
 class Balancer:
-    """Power of two choices on load per slot, the node's own target and data centre first.
+    """Power of two choices on load per slot; prefers the node's own target and data centre.
 
-    A data centre whose targets are all loaded spills over to the others. Reported load ages, so
-    that a target which nobody calls any more is tried again.
+    When every target of the own data centre is at full load, calls spill over to the other data
+    centres. Reported load decays, so that a target that receives no calls is tried again.
 
-    :param own_load: the own target's exact load per slot.
+    :param own_load: returns the current load per slot of the node's own target.
     """
 
     __slots__ = (
@@ -50,7 +50,7 @@
         self._reports_by_id: dict[str, _ReportedLoad] = {}
 
     def choose(self, candidates: list[Member], excluded: set[str], now: float) -> Member | None:
-        """Return the target's node for one attempt, or ``None`` when none is left."""
+        """Return the node to send one attempt to; ``None`` when every candidate is excluded."""
         remaining = [m for m in candidates if m.node_id not in excluded] if excluded else candidates
         if not remaining:
             return None
@@ -64,7 +64,10 @@
         return first if self.load(first, now) <= self.load(second, now) else second
 
     def load(self, member: Member, now: float) -> float:
-        """Return the calls in flight per slot, as far as this node can tell."""
+        """Return the estimated calls in flight per slot.
+
+        For another node this is the larger of its decayed report and this node's own attempts.
+        """
         if member.node_id == self._own_id:
             return self._own_load()
         slots = member.target.slots if member.target else 1
@@ -87,7 +90,7 @@
             self.in_flight_by_id.pop(node_id, None)
 
     def record_load(self, node_id: str, load: float, now: float) -> None:
-        """Take in a node's load per slot: as it told with an answer, or 1 after it failed."""
+        """Record a node's load per slot, as reported with a response or assumed after a failure."""
         report = self._reports_by_id.get(node_id)
         if report is None:
             self._evict_expired_reports(now)
--- a/src/bulrushflow/routing/limits.py
+++ b/src/bulrushflow/routing/limits.py
@@ -1,28 +1,29 @@
-"""Limits on what runs at once: an adaptive concurrency limit and a budget of buffered bytes."""
+"""Resource limits: an adaptive concurrency limit and a budget of buffered bytes."""
 
 MIN_LIMIT_RATIO = 0.25
-"""Part of the slots that the limit never goes below."""
+"""Fraction of the slots below which the limit never falls."""
 BACKOFF_FACTOR = 0.85
-"""Factor on the limit after a window whose latency grew too far."""
+"""Factor applied to the limit after a window with increased latency or too many dropped calls."""
 LATENCY_TOLERANCE_FACTOR = 2.0
-"""How many times the baseline latency a window may show."""
+"""Multiple of the baseline latency up to which a window's mean latency is acceptable."""
 LATENCY_SLACK_S = 0.005
-"""Latency above the baseline that is never taken for queueing."""
+"""Latency above the tolerated multiple that is not attributed to queueing."""
 MIN_UTILIZATION = 0.8
-"""Part of the limit that must have been in use before it is raised."""
+"""Fraction of the limit that must have been in use in a window before the limit is raised."""
 BASELINE_DRIFT_FACTOR = 1.02
-"""Factor by which the baseline follows a lastingly higher latency, once a window."""
+"""Largest factor by which one window raises the baseline, so that it follows a lasting change."""
 WINDOW_S = 0.25
 MIN_WINDOW_SAMPLES = 20
 
 
 class ConcurrencyLimit:
-    """A concurrency limit at or below a target's slots, additive up and multiplicative down.
+    """An adaptive concurrency limit (AIMD) that never exceeds a target's slots.
 
-    The limit falls when the mean latency of a window exceeds the baseline by ``TOLERANCE``, or when
-    the target shed or lost calls; it rises by one a window while it is in use. The baseline is the
-    lowest window mean seen, and drifts upwards so that a target which became slower for good is
-    not held at the floor. A lower concurrency can't speed such a target up.
+    The limit decreases when the mean latency of a window exceeds the tolerated multiple of the
+    baseline, or when the target shed or lost calls. It increases by one per window while it is in
+    use. The baseline is the lowest window mean so far, and drifts upwards: a target that became
+    permanently slower would otherwise stay at the minimum, and a lower concurrency can't make
+    such a target faster.
     """
 
     __slots__ = (
@@ -48,18 +49,18 @@
 
     @property
     def value(self) -> int:
-        """Calls that may run at once."""
+        """Number of calls that may run at once."""
         return int(self._limit)
 
     @property
     def baseline_s(self) -> float | None:
-        """Latency in seconds of the target without queueing; ``None`` before the first window."""
+        """Latency of the target without queueing, in seconds; ``None`` before the first window."""
         return self._baseline_s
 
     def observe(self, now: float, seconds: float, in_flight: int) -> None:
-        """Take in one answered call.
+        """Record the latency of a call that was answered.
 
-        :param in_flight: calls that ran when this one ended, itself included.
+        :param in_flight: calls in flight when this one ended, itself included.
         """
         self._samples += 1
         self._latency_sum_s += seconds
@@ -67,7 +68,7 @@
         self._end_window_if_due(now)
 
     def observe_dropped(self, now: float, in_flight: int) -> None:
-        """Take in one call that the target shed, lost or did not answer in time."""
+        """Record a call that the target shed, lost or did not answer in time."""
         self._dropped += 1
         self._peak_in_flight = max(self._peak_in_flight, in_flight)
         self._end_window_if_due(now)
@@ -81,7 +82,8 @@
             self._update_baseline(mean_s)
         else:
             exceeded = True
-        # Single drops are usual for a target with faults of its own; a tenth is not.
+        # A faulty target may drop single calls without being overloaded; more than one dropped
+        # call for every ten answered ones indicates overload.
         if exceeded or self._dropped * 10 > self._samples:
             self._limit = max(1.0, self._slots * MIN_LIMIT_RATIO, self._limit * BACKOFF_FACTOR)
         elif self._peak_in_flight >= int(self._limit) * MIN_UTILIZATION:
@@ -108,7 +110,7 @@
 
 
 class ByteBudget:
-    """A bound on bytes buffered at once."""
+    """A bound on the bytes that are buffered at once."""
 
     __slots__ = ("_max_bytes", "used_bytes")
 
@@ -117,16 +119,16 @@
         self.used_bytes = 0
 
     def reserve(self, size: int) -> bool:
-        """Take ``size`` bytes; ``False`` when they are not free."""
+        """Reserve ``size`` bytes; return ``False``, with nothing reserved, beyond the bound."""
         if self.used_bytes + size > self._max_bytes:
             return False
         self.used_bytes += size
         return True
 
     def force_reserve(self, size: int) -> None:
-        """Take ``size`` bytes that are held already, free or not."""
+        """Count ``size`` bytes that are in memory already, even beyond the bound."""
         self.used_bytes += size
 
     def release(self, size: int) -> None:
-        """Give ``size`` bytes back."""
+        """Release ``size`` reserved bytes."""
         self.used_bytes -= size
--- a/src/bulrushflow/routing/model.py
+++ b/src/bulrushflow/routing/model.py
@@ -1,4 +1,4 @@
-"""Calls, answers and the ways a call can end."""
+"""Calls, responses and the outcomes of calls."""
 
 import enum
 from dataclasses import dataclass
@@ -11,25 +11,29 @@
 
 
 class Outcome(enum.IntEnum):
-    """How a call ended, as far as it is known."""
+    """How a call ended, as far as it is known.
+
+    The numbers are sent between nodes, and the member names are values of the metrics' label
+    ``outcome``.
+    """
 
     ANSWERED = 0
     NOT_RUN = 1
-    """Certain: no target began to run the call, so it may be tried elsewhere."""
+    """Certainly not run by any target, so it may be retried elsewhere."""
     UNKNOWN = 2
-    """The call may have run; it is tried again only when it is idempotent."""
+    """The call may have run; it is retried only when it is idempotent."""
     REFUSED = 3
-    """Not run, and not to be tried again: no route, no time left, too large."""
+    """Not run, and not to be retried: no route, no time left, too large."""
     ANSWER_LOST = 4
-    """The call ran, but its answer can't be passed on; not to be tried again."""
+    """The call ran, but its response can't be delivered; not to be retried."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request from a caller, with the choices made for it.
+    """One request from a caller, with the routing decisions made for it.
 
-    ``deadline`` is in seconds of the event loop's clock. ``attempt`` counts how many times the
-    call, or the call that led to it, was sent before.
+    ``deadline`` is in seconds of the event loop's clock. ``attempt`` is the number of earlier
+    attempts, including those of the call further up the chain that led to this one.
     """
 
     request_id: str
@@ -45,15 +49,19 @@
     idempotent: bool
     attempt: int = 0
     priority: int = 0
-    """0 is the most important."""
+    """0 is the highest priority."""
     late_after: float = 0.0
-    """When the answer loses worth, on the same clock as the deadline."""
+    """Time of the latency objective, on the deadline's clock; a later response counts as late."""
 
     def for_attempt(self, version: str, retries: int) -> "Call":
-        """Return the call for a target version, after ``retries`` attempts of this node's own."""
+        """Return the call for one attempt.
+
+        :param version: version of the target.
+        :param retries: number of earlier attempts by this node.
+        """
         if version == self.version and not retries:
             return self
-        # Three times as fast as dataclasses.replace, and on every call's path.
+        # This runs for every call and is three times as fast as dataclasses.replace.
         return Call(
             self.request_id,
             self.tenant,
@@ -74,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A target's whole answer."""
+    """A target's complete response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -82,17 +90,17 @@
 
     @property
     def is_failure(self) -> bool:
-        """Whether the target failed to serve the call."""
+        """Whether the status is a server error."""
         return self.status >= SERVER_ERROR
 
     def as_result(self) -> "CallResult":
-        """Return the answer as a call's outcome."""
+        """Return the response as the result of a call."""
         return Ok(self)
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailure:
-    """A call that got no answer from a target, and why."""
+    """Why a call got no response, and whether it may have run."""
 
     outcome: Outcome
     reason: str
@@ -100,7 +108,7 @@
     """Whether the call reached a target, which refused it."""
 
     def as_result(self) -> "CallResult":
-        """Return the failure as a call's outcome."""
+        """Return the failure as the result of a call."""
         return Err(self)
 
 
@@ -108,25 +116,25 @@
 
 
 def not_run(reason: str, reached_target: bool = False) -> CallResult:
-    """Return the outcome of a call that certainly did not run.
+    """Return the result of a call that certainly did not run.
 
-    :param reached_target: whether a target got the call and refused it.
+    :param reached_target: whether a target received the call and refused it.
     """
     return CallFailure(Outcome.NOT_RUN, reason, reached_target).as_result()
 
 
 def unknown(reason: str) -> CallResult:
-    """Return the outcome of a call that may have run."""
+    """Return the result of a call that may have run."""
     return CallFailure(Outcome.UNKNOWN, reason).as_result()
 
 
 def refused(reason: str) -> CallResult:
-    """Return the outcome of a call that did not run and is not to be tried again."""
+    """Return the result of a call that did not run and must not be retried."""
     return CallFailure(Outcome.REFUSED, reason).as_result()
 
 
 def answer_lost(reason: str) -> CallResult:
-    """Return the outcome of a call that ran and whose answer can't be passed on."""
+    """Return the result of a call that ran and whose response can't be delivered."""
     return CallFailure(Outcome.ANSWER_LOST, reason).as_result()
 
 
--- a/src/bulrushflow/routing/queues.py
+++ b/src/bulrushflow/routing/queues.py
@@ -1,11 +1,11 @@
-"""A bounded queue in front of a target's slots, fair between tenants and aware of deadlines."""
+"""A bounded queue for a target's slots, fair between tenants and aware of deadlines."""
 
 import collections
 import typing as t
 from dataclasses import dataclass
 
 MAX_TENANTS = 64
-"""Tenants with a queue of their own; those beyond share the last one."""
+"""Number of tenants with a queue of their own; all further tenants share one."""
 SHARED_TENANT = ""
 
 T = t.TypeVar("T")
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedItem(t.Generic[T]):
-    """A queued item."""
+    """An item with its tenant and deadline."""
 
     item: T
     tenant: str
@@ -21,10 +21,10 @@
 
 
 class FairQueue(t.Generic[T]):
-    """Round robin over tenants, first in first out within each.
+    """Round robin over tenants, first in first out within each tenant.
 
-    When the queue is full, the newest item of the longest tenant queue gives way, so that one
-    tenant's calls can't keep the others' out.
+    When the queue is full, the newest item of the longest tenant queue is evicted, so that one
+    tenant can't crowd out the others.
     """
 
     __slots__ = ("_by_tenant", "_length", "_max_length")
@@ -40,23 +40,27 @@
         return self._length
 
     def estimated_wait_s(self, tenant: str, service_time_s: float, concurrency: int) -> float:
-        """Estimate how long a new item of ``tenant`` waits for its slot.
+        """Estimate how long a new item of ``tenant`` waits for a slot.
 
-        :param service_s: recent mean time that an item holds a slot.
-        :param concurrency: slots that serve the queue.
+        :param service_time_s: recent mean time for which an item occupies a slot.
+        :param concurrency: number of slots that serve the queue.
         """
         own = len(self._by_tenant.get(self._key(tenant), ()))
         ahead = sum(min(len(queue), own + 1) for queue in self._by_tenant.values())
         return (ahead + 1) * service_time_s / max(1, concurrency)
 
     def push(self, item: T, tenant: str, deadline: float) -> T | None:
-        """Add an item; return the one that gave way for it, itself perhaps."""
+        """Add an item.
+
+        :return: the evicted item, which is ``item`` itself if it was not queued, or ``None``.
+        """
         key = self._key(tenant)
         evicted = None
         if self._length >= self._max_length:
             longest = self._longest()
             own = len(self._by_tenant.get(key, ()))
-            # Tenants that differ by one call would otherwise drop each other's calls in turn.
+            # Without the margin of one, tenants whose queues differ by one item would evict each
+            # other's items in turn.
             if longest is None or own + 1 >= len(longest):
                 return item
             evicted = longest.pop().item
@@ -67,9 +71,10 @@
         return evicted
 
     def pop(self, now: float, service_time_s: float) -> tuple[T | None, list[T]]:
-        """Return the next item that can still meet its deadline, and those that can't.
+        """Remove the next item that can still meet its deadline, and the expired ones before it.
 
-        :param service_s: time that an item needs once it has its slot.
+        :param service_time_s: expected time from getting a slot to completion.
+        :return: the item, or ``None`` when there is none, and the expired items.
         """
         expired: list[T] = []
         while self._by_tenant:
@@ -86,7 +91,7 @@
         return None, expired
 
     def remove(self, item: T) -> bool:
-        """Take an item out of turn; ``False`` when it is not queued."""
+        """Remove an item wherever it stands in the queue; ``False`` when it is not queued."""
         for tenant, queue in self._by_tenant.items():
             for i, queued in enumerate(queue):
                 if queued.item is item:
@@ -98,7 +103,7 @@
         return False
 
     def clear(self) -> list[T]:
-        """Empty the queue and return what was in it."""
+        """Remove and return all items."""
         items = [queued.item for queue in self._by_tenant.values() for queued in queue]
         self._by_tenant.clear()
         self._length = 0
--- a/src/bulrushflow/routing/retries.py
+++ b/src/bulrushflow/routing/retries.py
@@ -1,4 +1,4 @@
-"""The decision whether a failed attempt is tried again, within a budget."""
+"""Retries of failed attempts: which are safe, the retry budget, and the backoff."""
 
 import random
 
@@ -7,7 +7,7 @@
 from bulrushflow.routing.model import Outcome
 
 BUDGET_RATIO = 0.1
-"""Retries per first attempt, which bounds the work that failures add."""
+"""Retries allowed per first attempt; bounds the load that retries add during failures."""
 BUDGET_MAX_TOKENS = 20.0
 MAX_ATTEMPTS = 4
 BASE_BACKOFF_S = 0.01
@@ -15,7 +15,10 @@
 
 
 class RetryBudget:
-    """A token bucket filled by first attempts, so that retries stay a bounded share of calls."""
+    """A token bucket that first attempts replenish and retries consume.
+
+    It limits retries to a fraction of the first attempts, apart from a burst of ``max_tokens``.
+    """
 
     __slots__ = ("_max_tokens", "_ratio", "_tokens")
 
@@ -25,11 +28,11 @@
         self._tokens = max_tokens
 
     def replenish(self) -> None:
-        """Count a first attempt."""
+        """Add the tokens for one first attempt."""
         self._tokens = min(self._max_tokens, self._tokens + self._ratio)
 
     def try_consume(self) -> bool:
-        """Take one retry from the budget; ``False`` when it is empty."""
+        """Consume the token for one retry; return ``False`` when there is none."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -37,10 +40,10 @@
 
 
 def may_retry(call: Call, failure: CallFailure) -> bool:
-    """Tell whether the call may be sent again.
+    """Return whether it is safe to send the call again.
 
-    A call that belongs to a retry is not run twice again further down, so that the retries of a
-    chain of services add up and don't multiply.
+    A call that may have run is retried only when it is idempotent and is not itself part of a
+    retry upstream. Otherwise the retries of a chain of services would multiply, not add up.
     """
     if failure.outcome is Outcome.NOT_RUN:
         return True
@@ -48,8 +51,9 @@
 
 
 def retry_backoff_s(rounds: int, rng: random.Random) -> float:
-    """Return how long to wait after every target refused, with full jitter.
+    """Return the delay before the targets are tried again: exponential, with full jitter.
 
-    :param rounds: how often every target has refused this call before.
+    :param rounds: number of earlier delays of this call, one after each round in which every
+        target refused it.
     """
     return rng.uniform(0.0, min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2**rounds))
--- a/src/bulrushflow/routing/routes.py
+++ b/src/bulrushflow/routing/routes.py
@@ -1,4 +1,4 @@
-"""Finding a call's route, and the version that it goes to."""
+"""Matching of a call's route and choice of the service version."""
 
 import random
 import typing as t
@@ -31,11 +31,13 @@
     share_permille: t.Callable[[int], int],
     rng: random.Random,
 ) -> tuple[str, ...]:
-    """Return the versions to try for one call, the first choice first.
+    """Return the versions to try for one call, in order of preference.
 
-    During a move the other version follows as a fallback for calls that were certified not run.
+    During a rollout, a call that goes to the new version can fall back to the old one, provided
+    that it did not run or that it may be retried.
 
-    :param share_permille: gives the new version's share for a move's offset, 0 when taken back.
+    :param share_permille: returns the new version's traffic share for a rollout's offset; 0 once
+        the rollout was rolled back.
     """
     stable = configuration.services_by_name[service].version
     rollout = configuration.active_rollout(service)
--- a/tests/routing/test_balancer.py
+++ b/tests/routing/test_balancer.py
@@ -1,4 +1,4 @@
-"""Tests of the choice among targets."""
+"""Tests of load balancing among targets."""
 
 import random
 import unittest
--- a/tests/routing/test_queues.py
+++ b/tests/routing/test_queues.py
@@ -51,7 +51,7 @@
 
 
 class FairQueueMachine(RuleBasedStateMachine):
-    """Every item leaves exactly once, and none is held beyond the bound."""
+    """Every item leaves the queue exactly once, and the queue never exceeds its bound."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of retry decisions."""
+"""Tests of retry decisions, the retry budget and the backoff."""
 
 import asyncio
 import random
