--- a/src/bulrushflow/targets/__init__.py
+++ b/src/bulrushflow/targets/__init__.py
@@ -1,4 +1,4 @@
-"""The target beside this node: its announcement, admission to it, and calls to it."""
+"""The node's own target: its announcements, admission control, and calls to it."""
 
 from bulrushflow.targets.admission_controller import AdmissionController
 from bulrushflow.targets.announcement import Announcement
--- a/src/bulrushflow/targets/admission_controller.py
+++ b/src/bulrushflow/targets/admission_controller.py
@@ -1,4 +1,4 @@
-"""Admission of calls to the target beside this node; the only way to that target."""
+"""Admission control for the node's own target; every call to that target passes through it."""
 
 import asyncio
 import typing as t
@@ -23,9 +23,10 @@
 
 CHECK_INTERVAL_S = 0.5
 SUFFICIENT_TIME_FACTOR = 4.0
-"""A timeout counts as the version's fault when it had so many baseline service times."""
+"""Multiple of the baseline latency that an unanswered call must have had to count in the analysis
+of its version."""
 DEFAULT_BASELINE_S = 0.1
-"""Taken for the baseline of a target that has not answered yet."""
+"""Baseline latency assumed until the target's own is known."""
 RETIRE_TIMEOUT_S = 30.0
 
 CallObserver = t.Callable[[Call, bool, float], None]
@@ -34,13 +35,15 @@
 
 
 class AdmissionController:
-    """Holds the target's exact slots, and refuses a call before it is sent.
+    """Admits calls to the target's slots, or refuses them before they are sent.
 
-    :param is_forbidden: tells whether a service version may get no new calls.
-    :param observer: told of each call that the target ran, whether it failed, and its seconds.
-    :param on_target: told when the target's announcement changed.
-    :param buffered: bounds the bytes of answers held at once.
-    :param max_answer_bytes: bound on one answer's body.
+    :param is_forbidden: returns whether a version of a service may get no new calls.
+    :param observer: called for each call that the target ran, with whether the call failed and its
+        duration in seconds.
+    :param on_target_change: called with the target as other nodes should see it, ``None`` if it is
+        gone.
+    :param byte_budget: bounds the bytes of buffered responses.
+    :param max_response_bytes: bound on the body of one response.
     """
 
     def __init__(
@@ -68,23 +71,23 @@
 
     @property
     def in_flight(self) -> int:
-        """Calls sent to the target and not yet ended."""
+        """Number of calls that the current target runs."""
         return self._session.slots.active if self._session else 0
 
     @property
     def load(self) -> int:
-        """Slots that are not free, and calls that wait for one."""
+        """Number of occupied slots and queued calls."""
         if self._session is None:
             return 0
         return self._session.slots.occupied + self._session.slots.queued
 
     @property
     def capacity(self) -> int:
-        """Calls that may run on the target at once now."""
+        """Number of slots that may be occupied at present."""
         return self._session.slots.capacity if self._session else 0
 
     async def handle_announcement(self, announcement: Announcement) -> None:
-        """Take the target's own word on its state and address."""
+        """Apply an announcement of the target, and renew the target's validity."""
         self._renewed_at = asyncio.get_running_loop().time()
         if announcement == self.announcement:
             return
@@ -96,7 +99,7 @@
         self._notify_target_change()
 
     async def run(self, call: Call) -> CallResult:
-        """Run a call on the target, or refuse it with the certainty that it did not run."""
+        """Run a call on the target, or refuse it as certainly not run."""
         session = self._session
         if session is None:
             return self._shed(call, "no target")
@@ -115,12 +118,12 @@
         return await self._send(session, call)
 
     async def drain(self, timeout_s: float) -> bool:
-        """Refuse new calls and wait for those in flight; return whether all ended."""
+        """Refuse new and queued calls and wait for those in flight; return whether all ended."""
         self._draining = True
         self._notify_target_change()
         if self._session is None:
             return True
-        self._session.slots.refuse_queued("this node takes no new calls")
+        self._session.slots.refuse_queued("this node is draining and takes no new calls")
         try:
             await asyncio.wait_for(self._session.wait_idle(), timeout_s)
         except TimeoutError:
@@ -149,7 +152,7 @@
             case Ok(response):
                 failed = response.is_failure
                 if not failed:
-                    # A target that fails fast says nothing of its service time.
+                    # The time of a fast failure says nothing about the target's service time.
                     slots.observe(seconds)
                 slots.release()
                 self._observer(call, failed, seconds)
@@ -166,21 +169,24 @@
         return result
 
     def _check_reachable(self, session: TargetSession) -> None:
-        """Take a target that refuses connections for gone, until it announces itself again.
+        """Remove a target that refuses connections, until its next announcement.
 
-        It would fail calls faster than any other answers them, and so look idle to every node.
+        It would fail calls faster than other targets answer them, and so appear idle to every node.
         """
         if session is self._session and session.unreachable and self.announcement is not None:
-            logger.warning("target {} takes no connections", self.announcement.url)
+            logger.warning(
+                "target {} takes no connections; removed until it announces itself again",
+                self.announcement.url,
+            )
             self.announcement = None
-            session.slots.refuse_queued("the target is gone")
+            session.slots.refuse_queued("the target takes no connections")
             self._notify_target_change()
 
     def _observe_abandoned(self, session: TargetSession, call: Call, seconds: float) -> None:
-        """Tell how long a cancelled call ran, if it was long.
+        """Report a cancelled call to the observer if it had run for long.
 
-        Callers that give up early would otherwise hide a version that hangs. It is no fault by
-        itself: the time is a lower bound on the call's latency.
+        Callers with short timeouts would otherwise hide a version that hangs. The call does not
+        count as failed; its duration is a lower bound on its latency.
         """
         baseline_s = session.slots.limit.baseline_s
         usual_s = DEFAULT_BASELINE_S if baseline_s is None else baseline_s
@@ -188,7 +194,10 @@
             self._observer(call, False, seconds)
 
     def _had_sufficient_time(self, session: TargetSession, call: Call, started_at: float) -> bool:
-        """Tell whether a call left without an answer tells of the version, not of its caller."""
+        """Return whether an unanswered call had enough time to be attributed to the version.
+
+        A shorter time is attributed to the caller's timeout.
+        """
         baseline_s = session.slots.limit.baseline_s
         if baseline_s is None:
             return True
@@ -197,11 +206,14 @@
     def _refusal(self, session: TargetSession, call: Call) -> str | None:
         announcement = self.announcement
         if announcement is None or session is not self._session:
-            return "the target is gone"
+            return "the target was lost or replaced"
         if self._draining or announcement.state != "ready":
             return "the target takes no new calls"
         if (announcement.service, announcement.version) != (call.service, call.version):
-            return "the target has another service or version"
+            return (
+                f"the target runs {announcement.service} {announcement.version}, "
+                f"the call is for {call.service} {call.version}"
+            )
         if self._is_forbidden(call.service, call.version):
             return f"version {call.version} was taken back"
         return None
@@ -239,6 +251,9 @@
         if self.announcement is None:
             return
         if asyncio.get_running_loop().time() - self._renewed_at > ANNOUNCEMENT_TTL_S:
-            logger.warning("target did not renew its announcement")
+            logger.warning(
+                "target did not renew its announcement within {} s; it counts as gone",
+                ANNOUNCEMENT_TTL_S,
+            )
             self.announcement = None
             self._notify_target_change()
--- a/src/bulrushflow/targets/announcement.py
+++ b/src/bulrushflow/targets/announcement.py
@@ -1,4 +1,4 @@
-"""What a target says of itself to the node beside it, and for how long that holds."""
+"""The announcement that a target sends to its node, and how long it is valid."""
 
 import ipaddress
 import typing as t
@@ -9,11 +9,11 @@
 from bulrushflow.membership import TargetState
 
 ANNOUNCEMENT_TTL_S = 3.0
-"""A target that does not renew its announcement for so long counts as gone."""
+"""Time without a renewal after which the target counts as gone."""
 
 
 class Announcement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A target's announcement, renewed about every second."""
+    """A target's service, address and state, which it announces about once per second."""
 
     service: t.Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
     version: t.Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
@@ -28,11 +28,11 @@
 
     @property
     def target(self) -> Target:
-        """The part that other nodes are told."""
+        """The part that is disseminated to other nodes."""
         state = TargetState[self.state.upper()]
         return Target(self.service, self.version, state, self.slots)
 
     @property
     def url(self) -> str:
-        """Where the target takes calls."""
+        """Base URL for calls to the target."""
         return f"http://{self.address}:{self.port}"
--- a/src/bulrushflow/targets/client.py
+++ b/src/bulrushflow/targets/client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the target beside this node."""
+"""HTTP client for the node's own target."""
 
 import asyncio
 
@@ -20,14 +20,14 @@
 TENANT_HEADER = "x-tenant"
 TIMEOUT_HEADER = "x-timeout-ms"
 ATTEMPT_HEADER = "x-attempt"
-"""How many times this call, or the call that led to it, was sent before; absent for none."""
+"""Number of earlier attempts of this call or of the call that led to it; absent for none."""
 OUTCOME_HEADER = "x-outcome"
 NOT_RUN_VALUE = "not-run"
 KEEPALIVE_TIMEOUT_S = 4.0
-"""Idle time after which a connection is not used again.
+"""Idle time after which a connection is not reused.
 
-It is below the keep-alive timeout of common servers: a connection that the target closes at the
-moment of use leaves a call that is not idempotent with an unknown outcome.
+It is shorter than the keep-alive timeout of common servers: if the target closes a connection just
+as it is reused, a call that is not idempotent is left with an unknown outcome.
 """
 
 _SHED_STATUSES = frozenset({429, 503})
@@ -36,17 +36,19 @@
 
 
 class TargetClient:
-    """One target's connections. A connection that timed out or was cancelled is not used again.
+    """The connections to one target.
 
-    :param buffered: bounds the bytes of answers held at once.
-    :param max_answer_bytes: bound on one answer's body.
+    A connection whose call timed out or was cancelled is not reused.
+
+    :param byte_budget: bounds the bytes of buffered responses.
+    :param max_response_bytes: bound on the body of one response.
     """
 
     def __init__(
         self, announcement: Announcement, byte_budget: ByteBudget, max_response_bytes: int
     ) -> None:
         self.unreachable = False
-        """Whether the last attempt to connect failed and no answer came since."""
+        """Whether the last attempt to connect failed and no response arrived since."""
         self._url = announcement.url
         self._byte_budget = byte_budget
         self._max_response_bytes = max_response_bytes
@@ -66,13 +68,13 @@
         await self._session.close()
 
     async def send(self, call: Call) -> CallResult:
-        """Run a call on the target, within its deadline.
+        """Send a call to the target and return its result by the call's deadline.
 
-        A cancelled call closes its connection, which tells the target.
+        Cancellation closes the call's connection, by which the target can notice it.
         """
         remaining_s = call.deadline - asyncio.get_running_loop().time()
         if remaining_s <= 0:
-            return not_run("no time left")
+            return not_run("the call's deadline passed before it was sent to the target")
         try:
             async with (
                 asyncio.timeout_at(call.deadline),
@@ -90,7 +92,7 @@
             self.unreachable = True
             return not_run(f"no connection to the target: {exc}")
         except TimeoutError:
-            return unknown("the target did not answer in time")
+            return unknown(f"the target did not answer in time (within {remaining_s:.3f} s)")
         except (aiohttp.ClientError, OSError) as exc:
             return unknown(f"the target's connection failed: {type(exc).__name__}")
 
@@ -100,22 +102,30 @@
             and response.headers.get(OUTCOME_HEADER) == NOT_RUN_VALUE
         ):
             response.release()
-            return not_run("the target shed the call")
+            return not_run(f"the target shed the call with status {response.status}")
         expected = response.content_length
         reserved = self._max_response_bytes if expected is None else expected
         if reserved > self._max_response_bytes:
             response.close()
-            return answer_lost("the answer is too large")
+            return answer_lost(
+                f"the response is too large: {reserved} bytes, "
+                f"at most {self._max_response_bytes} are accepted"
+            )
         if not self._byte_budget.reserve(reserved):
             response.close()
-            return answer_lost("this node holds too many bytes for another answer")
+            return answer_lost(
+                f"no buffer space at this node for a response of up to {reserved} bytes: "
+                f"{self._byte_budget.used_bytes} bytes are in use"
+            )
         try:
             body = await self._read_body(response, expected)
         finally:
             self._byte_budget.release(reserved)
         if body is None:
             response.close()
-            return answer_lost("the answer is too large")
+            return answer_lost(
+                f"the response is too large: at most {self._max_response_bytes} bytes are accepted"
+            )
         headers = tuple(
             (k, v)
             for k, v in response.headers.items()
--- a/src/bulrushflow/targets/server.py
+++ b/src/bulrushflow/targets/server.py
@@ -1,4 +1,4 @@
-"""The HTTP listener where the target beside this node announces itself."""
+"""The HTTP endpoint for the announcements of the node's own target."""
 
 import msgspec
 from aiohttp import web
@@ -8,9 +8,10 @@
 
 
 def target_application(admission_controller: AdmissionController) -> web.Application:
-    """Return the application that takes announcements.
+    """Return the application that receives announcements.
 
-    Its answer tells the calls in flight, so that a draining target knows when it may stop.
+    Its responses contain the number of calls in flight, which tells a draining target when it may
+    stop.
     """
 
     async def announce(request: web.Request) -> web.Response:
--- a/src/bulrushflow/targets/session.py
+++ b/src/bulrushflow/targets/session.py
@@ -1,4 +1,4 @@
-"""One announced target from its first announcement until its last call has ended."""
+"""The session of one target process, from its first announcement to its last call."""
 
 import asyncio
 
@@ -12,8 +12,9 @@
 class TargetSession:
     """The connections and slots of one target process.
 
-    A target that announces another address, service or version is another process. Its
-    predecessor's session is retired: it takes no new calls and closes after its last one.
+    An announcement with another address, service, version, or number of slots or connections
+    starts a new session. The previous one is retired: it gets no new calls and closes after its
+    last one.
     """
 
     def __init__(self, announcement: Announcement, client: TargetClient) -> None:
@@ -25,11 +26,11 @@
 
     @property
     def unreachable(self) -> bool:
-        """Whether the target takes no connections."""
+        """Whether the last attempt to connect failed and no response arrived since."""
         return self._client.unreachable
 
     def matches(self, announcement: Announcement) -> bool:
-        """Tell whether an announcement comes from the same target process."""
+        """Return whether an announcement belongs to this session."""
         current = self.announcement
         return (
             current.url == announcement.url
@@ -40,21 +41,24 @@
         )
 
     async def send(self, call: Call) -> CallResult:
-        """Run a call on the target; the caller holds a slot for it."""
+        """Send a call to the target; the caller must have acquired a slot."""
         self._idle.clear()
         try:
             return await self._client.send(call)
         finally:
-            # The slot of this call is still held here.
+            # This call is still counted: its slot is released after this method returns.
             if self.slots.active <= 1:
                 self._idle.set()
 
     async def wait_idle(self) -> None:
-        """Wait until no call runs."""
+        """Wait until no call is in flight."""
         await self._idle.wait()
 
     async def retire(self, timeout_s: float) -> None:
-        """Wait for the calls in flight, then close the connections."""
+        """Refuse queued calls, wait for those in flight, and close the connections.
+
+        :param timeout_s: time after which the connections are closed in any case.
+        """
         self.slots.refuse_queued("the target was replaced")
         try:
             await asyncio.wait_for(self._idle.wait(), timeout_s)
@@ -63,5 +67,5 @@
         await self._client.close()
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the connections without waiting for calls."""
         await self._client.close()
--- a/src/bulrushflow/targets/slots.py
+++ b/src/bulrushflow/targets/slots.py
@@ -1,4 +1,4 @@
-"""Exact slots of one target, with a bounded queue in front and an adaptive limit beneath."""
+"""The slots of one target, with a bounded queue and an adaptive concurrency limit."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 
 MAX_QUEUED_PER_SLOT = 2
 SERVICE_TIME_SMOOTHING = 0.1
-"""Weight of the newest call in the smoothed service time."""
+"""Weight of the newest sample in the smoothed service time."""
 MIN_LINGER_S = 0.01
 MAX_LINGER_S = 1.0
 LINGER_FACTOR = 2.0
-"""Smoothed service times after which an abandoned call's slot counts as free."""
+"""Multiple of the smoothed service time after which an abandoned call's slot counts as free."""
 
 RefusalReason = str
 
@@ -20,9 +20,10 @@
 class SlotPool:
     """Grants slots, at most as many as the target has slots and connections.
 
-    An abandoned call's slot is not free when its connection is closed: the target may not have
-    noticed, or may not be able to stop. The slot lingers for ``LINGER_FACTOR`` service times, by
-    when a target that stops on cancellation has stopped, and most others have finished.
+    Closing the connection of an abandoned call does not free its slot: the target may not have
+    noticed, or may be unable to stop. The slot stays occupied ("lingers") for ``LINGER_FACTOR``
+    service times. By then a target that stops on cancellation has stopped, and most other calls
+    have finished.
     """
 
     def __init__(self, slots: int, connections: int) -> None:
@@ -37,66 +38,78 @@
 
     @property
     def occupied(self) -> int:
-        """Slots that are not free: calls that run, and calls that may still run."""
+        """Number of slots of running calls and of abandoned calls that may still run."""
         return self.active + self.lingering
 
     @property
     def queued(self) -> int:
-        """Calls that wait for a slot."""
+        """Number of calls that wait for a slot."""
         return len(self._queue)
 
     @property
     def capacity(self) -> int:
-        """Slots that may be occupied at once now."""
+        """Number of slots that may be occupied at present."""
         return min(self._max_running, self.limit.value)
 
     def try_acquire(self) -> bool:
-        """Take a slot at once; ``False`` when the call has to queue."""
+        """Acquire a slot without waiting; return ``False`` when the call has to queue."""
         if self._queue or self.occupied >= self.capacity:
             return False
         self.active += 1
         return True
 
     async def acquire(self, tenant: str, deadline: float) -> RefusalReason | None:
-        """Wait for a slot in the queue; return why none was had, or ``None`` with a slot."""
+        """Queue for a slot.
+
+        :return: ``None`` once a slot was granted, or the reason why none was.
+        """
         loop = asyncio.get_running_loop()
         wait_s = self._queue.estimated_wait_s(tenant, self.service_time_s, self.capacity)
         if loop.time() + wait_s + self.service_time_s >= deadline:
-            return "the queue is too long for the deadline"
+            return (
+                f"the queue is too long for the deadline: expected wait {wait_s:.3f} s, "
+                f"service time {self.service_time_s:.3f} s"
+            )
         grant: asyncio.Future[RefusalReason | None] = loop.create_future()
         evicted = self._queue.push(grant, tenant, deadline)
         if evicted is grant:
             return "the queue is full"
         if evicted is not None and not evicted.done():
-            evicted.set_result("gave way in the queue to another tenant")
+            evicted.set_result("evicted from the full queue in favour of another tenant")
         try:
             async with asyncio.timeout_at(deadline):
                 return await grant
         except TimeoutError:
             self._withdraw(grant)
-            return "the deadline passed in the queue"
+            return "the deadline passed while the call was queued"
         except asyncio.CancelledError:
             self._withdraw(grant)
             raise
 
     def release(self) -> None:
-        """Free the slot of a call that ended."""
+        """Release the slot of a call that ended.
+
+        :raises InvariantError: if no slot is active.
+        """
         if self.active <= 0:
-            raise InvariantError("a slot was released twice")
+            raise InvariantError("a slot was released, but none is active")
         self.active -= 1
         self._grant_queued()
 
     def release_abandoned(self) -> None:
-        """Free the slot of a call that the target may still run, some time later."""
+        """Release the slot of a call that the target may still run, after the linger time.
+
+        :raises InvariantError: if no slot is active.
+        """
         if self.active <= 0:
-            raise InvariantError("a slot was released twice")
+            raise InvariantError("a slot was released, but none is active")
         self.active -= 1
         self.lingering += 1
         linger_s = min(MAX_LINGER_S, max(MIN_LINGER_S, self.service_time_s * LINGER_FACTOR))
         asyncio.get_running_loop().call_later(linger_s, self._end_linger)
 
     def observe(self, seconds: float) -> None:
-        """Take in the service time of an answered call."""
+        """Record the service time of an answered call."""
         now = asyncio.get_running_loop().time()
         if self.service_time_s:
             self.service_time_s += (seconds - self.service_time_s) * SERVICE_TIME_SMOOTHING
@@ -105,11 +118,11 @@
         self.limit.observe(now, seconds, self.occupied)
 
     def observe_dropped(self) -> None:
-        """Take in a call that the target shed, lost or did not answer in time."""
+        """Record a call that the target shed, lost or did not answer in time."""
         self.limit.observe_dropped(asyncio.get_running_loop().time(), self.occupied)
 
     def refuse_queued(self, reason: RefusalReason) -> None:
-        """Refuse every call that waits."""
+        """Refuse all queued calls."""
         for grant in self._queue.clear():
             if not grant.done():
                 grant.set_result(reason)
@@ -132,6 +145,6 @@
     def _withdraw(self, grant: asyncio.Future[RefusalReason | None]) -> None:
         if self._queue.remove(grant):
             return
-        # The slot may have been granted in the same turn of the loop that ended the wait.
+        # The slot may have been granted in the iteration of the event loop that ended the wait.
         if grant.done() and not grant.cancelled() and grant.result() is None:
             self.release()
--- a/tests/targets/servers.py
+++ b/tests/targets/servers.py
@@ -1,4 +1,4 @@
-"""Small HTTP targets on a port that the system picks, for tests."""
+"""HTTP servers on ephemeral ports, calls and announcements for tests."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 
 @contextlib.asynccontextmanager
 async def http_server(handler: Handler) -> t.AsyncIterator[int]:
-    """Serve ``handler``; a client that disconnects cancels it. Gives the port."""
+    """Serve ``handler``, which is cancelled when its client disconnects; yield the port."""
     server = web.Server(handler, handler_cancellation=True, access_log=None)
     runner = web.ServerRunner(server, shutdown_timeout=0.1)
     await runner.setup()
@@ -38,7 +38,7 @@
     timeout_s: float = GUARD_S,
     attempt: int = 0,
 ) -> Call:
-    """Return a call that is routed to a version."""
+    """Return a call to version ``v1`` of ``payments``."""
     return Call(
         request_id=request_id,
         tenant=tenant,
@@ -56,7 +56,7 @@
 
 
 async def until(condition: t.Callable[[], bool]) -> None:
-    """Wait for a condition; the time limit is only a guard."""
+    """Wait for a condition; fail the test if it is not met within ``GUARD_S``."""
     async with asyncio.timeout(GUARD_S):
-        while not condition():  # noqa: ASYNC110, since conditions are plain attributes
+        while not condition():  # noqa: ASYNC110 (conditions read plain attributes)
             await asyncio.sleep(0.001)
--- a/tests/targets/test_admission_controller.py
+++ b/tests/targets/test_admission_controller.py
@@ -1,4 +1,4 @@
-"""Tests of admission to the own target, and of what moves are told."""
+"""Tests of admission control for the own target, and of the calls reported to the observer."""
 
 import asyncio
 import random
@@ -71,7 +71,7 @@
 
     async def test_queued_call_is_checked_again_before_it_is_sent(self) -> None:
         changes = {
-            "taken back": lambda: setattr(self, "forbidden", True),
+            "version rolled back": lambda: setattr(self, "forbidden", True),
             "draining": lambda: asyncio.create_task(
                 self.controller.handle_announcement(
                     announcement(self.port, slots=1, state="draining")
--- a/tests/targets/test_client.py
+++ b/tests/targets/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of calls over HTTP to a target, with the faults of connections."""
+"""Tests of HTTP calls to a target, including connection faults."""
 
 import asyncio
 import unittest
@@ -18,7 +18,7 @@
 
 
 class RecordingTarget:
-    """Records what reached it; fails on command."""
+    """Records the calls that it receives; fails as configured."""
 
     def __init__(self) -> None:
         self.received_ids: list[str] = []
--- a/tests/targets/test_slots.py
+++ b/tests/targets/test_slots.py
@@ -1,4 +1,4 @@
-"""Tests of the slots of a target."""
+"""Tests of the slots of a target and their queue."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 def full_pool(slots: int = 2) -> SlotPool:
-    """Return an admission whose slots are all taken."""
+    """Return a pool whose slots are all in use."""
     pool = SlotPool(slots, slots)
     while pool.try_acquire():
         pass
@@ -41,12 +41,16 @@
         pool = full_pool(2)
         pool.service_time_s = 100.0
         refusal = await pool.acquire("a", self.deadline())
-        self.assertEqual(refusal, "the queue is too long for the deadline")
+        self.assertEqual(
+            refusal,
+            "the queue is too long for the deadline: "
+            "expected wait 50.000 s, service time 100.000 s",
+        )
 
     async def test_queued_call_is_refused_at_its_deadline(self) -> None:
         pool = full_pool(2)
         refusal = await pool.acquire("a", self.deadline(0.01))
-        self.assertEqual(refusal, "the deadline passed in the queue")
+        self.assertEqual(refusal, "the deadline passed while the call was queued")
         self.assertEqual(pool.queued, 0)
 
     async def test_queue_of_a_hanging_target_is_bounded(self) -> None:
