--- a/src/bulrushflow/callers/__init__.py
+++ b/src/bulrushflow/callers/__init__.py
@@ -1,4 +1,4 @@
-"""Callers: their HTTP requests, and the dispatch of their calls."""
+"""The HTTP server for callers, and the dispatch of their calls to targets."""
 
 from bulrushflow.callers.dispatcher import Dispatcher
 from bulrushflow.callers.server import CallerServer
--- a/src/bulrushflow/callers/dispatcher.py
+++ b/src/bulrushflow/callers/dispatcher.py
@@ -1,4 +1,4 @@
-"""Brings a call to a target: version, target, attempt, retry."""
+"""Dispatch of calls: choice of version and target, attempts and retries."""
 
 import asyncio
 import random
@@ -29,7 +29,7 @@
 
 
 class Dispatcher:
-    """Routes calls with one configuration from start to end."""
+    """Dispatches calls, each with the configuration that was in force when it arrived."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._retry_budgets_by_service: dict[str, RetryBudget] = {}
 
     async def dispatch(self, configuration: Configuration, call: Call) -> CallResult:
-        """Run a call; its version is chosen here."""
+        """Choose a version and a target for a call, and send it, with retries, until it ends."""
         versions = choose_versions(
             configuration, call.service, self._shared_rollouts.share_permille, self._rng
         )
@@ -103,7 +103,7 @@
     async def _attempt(self, member: Member, call: Call) -> CallResult:
         loop = asyncio.get_running_loop()
         if loop.time() >= call.deadline:
-            return refused("no time left")
+            return refused("the call's deadline passed before it was sent")
         if member.node_id == self._table.own_id:
             return await self._admission_controller.run(call)
         node_id = member.node_id
@@ -116,14 +116,14 @@
         if report is not None:
             load = report.load / report.capacity if report.capacity else FULL_LOAD
         if result.is_err():
-            # Whoever fails calls at once looks idle, and would draw the calls of all others.
+            # A node that fails calls at once would look idle and attract the calls of all nodes.
             load = max(load or 0.0, FULL_LOAD)
         if load is not None:
             self._balancer.record_load(node_id, load, loop.time())
         return result
 
     async def _back_off(self, call: Call, rounds: int) -> bool:
-        """Wait after every target refused; ``False`` when the call has no time for it."""
+        """Wait after every target refused; return ``False`` at once if the deadline is too near."""
         backoff_s = retry_backoff_s(rounds, self._rng)
         if asyncio.get_running_loop().time() + backoff_s >= call.deadline:
             return False
@@ -146,9 +146,10 @@
 
 
 def _combine_results(earlier: CallResult, latest: CallResult) -> CallResult:
-    """Return what is known of a call after one more attempt.
+    """Return the result of a call after one more attempt.
 
-    Once one attempt may have run, a later one that certainly did not leaves the call uncertain.
+    If an earlier attempt may have run, the outcome stays unknown until an attempt is answered, even
+    when the latest attempt certainly did not run.
     """
     if latest.is_ok() or earlier.is_ok():
         return latest
--- a/src/bulrushflow/callers/responses.py
+++ b/src/bulrushflow/callers/responses.py
@@ -1,4 +1,4 @@
-"""The HTTP answers that callers get for calls' outcomes and for refusals."""
+"""HTTP responses to callers, for the results of calls and for refused requests."""
 
 from aiohttp import web
 from multidict import CIMultiDict
@@ -31,7 +31,7 @@
 
 
 def to_http_response(call: Call, result: CallResult) -> web.Response:
-    """Return the answer to a caller for a call's outcome."""
+    """Return the HTTP response for the result of a call."""
     match result:
         case Ok(response):
             headers = CIMultiDict(response.headers)
@@ -42,9 +42,9 @@
 
 
 def refusal_response(status: int, reason: str, close: bool = False) -> web.Response:
-    """Return the answer to a request that is no call or is refused before it is routed.
+    """Return the HTTP response to a request that was refused before its call was dispatched.
 
-    :param close: close the caller's connection after the answer.
+    :param close: whether to close the caller's connection after the response.
     """
     response = web.json_response({"error": reason}, status=status)
     response.headers[OUTCOME_HEADER] = NOT_RUN_VALUE
--- a/src/bulrushflow/callers/server.py
+++ b/src/bulrushflow/callers/server.py
@@ -1,4 +1,4 @@
-"""The HTTP listener for callers."""
+"""The HTTP server for callers."""
 
 import asyncio
 import typing as t
@@ -42,16 +42,17 @@
 MAX_ATTEMPT = 1_000
 MAX_NUMBER_DIGITS = 9
 WRITE_TIMEOUT_S = 10.0
-"""A caller that takes longer to read its answer loses its connection."""
+"""Time within which a caller has to read its response before its connection is closed."""
 DRAIN_QUIET_S = 0.5
-"""A leaving node closes its callers' connections after no request came for so long."""
+"""Time without a request after which a draining node may close its callers' connections."""
 DRAIN_POLL_S = 0.05
 
 
 class CallerServer:
-    """Turns HTTP requests into calls, and their outcomes into HTTP answers.
+    """Accepts HTTP requests, dispatches them as calls, and returns the results.
 
-    :param buffered: bounds the bytes of bodies held at once.
+    :param byte_budget: bounds the buffered bytes of request bodies and responses.
+    :param is_ready: returns whether this node may accept calls.
     """
 
     def __init__(
@@ -74,7 +75,7 @@
         self._last_refused_at = 0.0
 
     def server(self) -> web.Server:
-        """Return the low-level HTTP server. A caller that disconnects cancels its call."""
+        """Return the low-level HTTP server; it cancels the call of a caller that disconnects."""
         return web.Server(
             self._handle, handler_cancellation=True, access_log=None, auto_decompress=False
         )
@@ -82,8 +83,11 @@
     async def drain(self, timeout_s: float) -> bool:
         """Refuse new calls and wait for those in flight; return whether all ended.
 
-        Every answer closes its connection, so that callers go elsewhere. The wait goes on until no
-        request came for a while: one that meets a closed connection would be lost.
+        Every response closes its connection, so that callers connect to another node. The drain
+        ends only after ``DRAIN_QUIET_S`` without a request, since a request that is sent on a
+        connection that is just being closed would be lost.
+
+        :param timeout_s: time after which the drain ends in any case.
         """
         self._draining = True
         loop = asyncio.get_running_loop()
@@ -98,9 +102,13 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if self._draining or not self._is_ready():
             self._last_refused_at = asyncio.get_running_loop().time()
-            return refusal_response(503, "this node takes no calls now", close=True)
+            return refusal_response(503, "this node is not ready or is draining", close=True)
         if self._in_flight >= self._settings.max_in_flight:
-            return refusal_response(503, "this node has too many calls in flight")
+            return refusal_response(
+                503,
+                f"too many calls in flight at this node: {self._in_flight}, "
+                f"at most {self._settings.max_in_flight} are accepted",
+            )
         self._in_flight += 1
         try:
             response = await self._handle_call(request)
@@ -119,7 +127,10 @@
                 await response.prepare(request)
                 await response.write_eof()
         except TimeoutError:
-            logger.warning("a caller did not read its answer within {} s", WRITE_TIMEOUT_S)
+            logger.warning(
+                "caller did not read its response within {} s; closing its connection",
+                WRITE_TIMEOUT_S,
+            )
             if request.transport is not None:
                 request.transport.abort()
         finally:
@@ -133,14 +144,21 @@
         if route is None:
             return refusal_response(404, f"no route for {request.path}")
         if not _is_utf8(request):
-            return refusal_response(400, "the headers are not UTF-8")
+            return refusal_response(400, "the path and the headers must be UTF-8")
         max_bytes = self._settings.max_body_bytes
         reserved = expected_bytes(request, max_bytes)
         if reserved > max_bytes:
-            return refusal_response(413, "the body is too large", close=True)
+            return refusal_response(
+                413,
+                f"the body is too large: {reserved} bytes, at most {max_bytes} are accepted",
+                close=True,
+            )
         if not self._byte_budget.reserve(reserved):
             return refusal_response(
-                503, "this node holds too many bytes for another body", close=True
+                503,
+                f"no buffer space at this node for a body of up to {reserved} bytes: "
+                f"{self._byte_budget.used_bytes} bytes are in use",
+                close=True,
             )
         try:
             async with asyncio.timeout_at(started_at + route.timeout_ms / 1000):
@@ -152,7 +170,9 @@
                     call = _build_call(request, route, body, started_at)
                     return await self._run(configuration, call, started_at)
         except TimeoutError:
-            return refusal_response(408, "the body did not arrive in time", close=True)
+            return refusal_response(
+                408, f"the body did not arrive in time (within {route.timeout_ms} ms)", close=True
+            )
         finally:
             self._byte_budget.release(reserved)
 
@@ -193,14 +213,17 @@
 
 
 def _parse_number(text: str | None, limit: int, default: int | None = None) -> int:
-    """Read a header's number, at most ``limit``; the default, or else the limit, without one."""
+    """Return the number in a header, at most ``limit``.
+
+    Without a valid number, return ``default``, or ``limit`` if there is no default.
+    """
     if text is None or not (text.isascii() and text.isdigit()):
         return limit if default is None else default
     return limit if len(text) > MAX_NUMBER_DIGITS else min(limit, int(text))
 
 
 def _is_utf8(request: web.BaseRequest) -> bool:
-    # The HTTP library escapes other bytes, and refuses to send them on.
+    # aiohttp decodes other bytes to surrogate escapes, and refuses to forward those.
     try:
         "".join(request.headers.values()).encode()
         request.raw_path.encode()
--- a/tests/callers/test_dispatcher.py
+++ b/tests/callers/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of attempts, retries and the choice of targets for one call."""
+"""Tests of the attempts, retries and choice of targets for one call."""
 
 import asyncio
 import random
@@ -33,7 +33,7 @@
 
 
 class FakeNodes:
-    """The own gatekeeper and the other nodes; ends attempts as the test says."""
+    """Stands for the own admission controller and the other nodes; returns given results."""
 
     load = 0
     capacity = 0
@@ -53,7 +53,7 @@
 
 
 def dispatcher(nodes: FakeNodes, targets: int) -> Dispatcher:
-    """Return a dispatcher that knows some other nodes' ready targets."""
+    """Return a dispatcher whose member table has ``targets`` other nodes with a ready target."""
     table = MemberTable(Member("own", "near", "127.0.0.1", 1, 0))
     ready = Target("payments", "v1", TargetState.READY, 10)
     for i in range(targets):
--- a/tests/callers/test_server.py
+++ b/tests/callers/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the listener for callers, from HTTP to outcome."""
+"""Tests of the HTTP server for callers."""
 
 import asyncio
 import typing as t
@@ -31,14 +31,14 @@
 
 
 class StubStore:
-    """A store with one configuration."""
+    """A store whose configuration is fixed."""
 
     def __init__(self, current: Configuration) -> None:
         self.current = current
 
 
 class FakeDispatcher:
-    """Ends calls as the test says, when it says."""
+    """Records calls, and returns ``result`` once ``may_end`` is set."""
 
     def __init__(self) -> None:
         self.calls: list[Call] = []
