--- a/benchmarks/mechanisms.py
+++ b/benchmarks/mechanisms.py
@@ -239,7 +239,7 @@
         (
             Edit(
                 "membership/table.py",
-                "self._put(replace(own, incarnation=claim.incarnation + 1))",
+                "self._put(replace(own, incarnation=update.incarnation + 1))",
                 "pass",
             ),
         ),
@@ -250,7 +250,7 @@
         (
             Edit(
                 "membership/table.py",
-                "if self.tombstones.covering(claim.node_id, claim.incarnation) is not None:",
+                "if self.tombstones.covering(update.node_id, update.incarnation) is not None:",
                 "if False:",
             ),
         ),
--- a/src/bulrushflow/membership/detection.py
+++ b/src/bulrushflow/membership/detection.py
@@ -6,10 +6,10 @@
 from bulrushflow.membership.members import Member
 from bulrushflow.membership.table import MemberTable
 
-CROSS_EVERY = 4
+REMOTE_PROBE_INTERVAL = 4
 """One probe in so many goes to another data centre."""
-CROSS_DRAWS = 8
-MAX_DOUBT = 4
+REMOTE_DRAWS = 8
+MAX_HEALTH_SCORE = 4
 
 
 def suspicion_timeout_s(base_s: float, members: int) -> float:
@@ -27,27 +27,27 @@
     than the many that it would accuse, so it waits longer for acks.
     """
 
-    __slots__ = ("_doubt",)
+    __slots__ = ("_score",)
 
     def __init__(self) -> None:
-        self._doubt = 0
+        self._score = 0
 
     @property
     def multiplier(self) -> int:
-        """Factor for timeouts, from 1 to 1 + :data:`MAX_DOUBT`."""
-        return 1 + self._doubt
+        """Factor for timeouts, from 1 to 1 + :data:`MAX_HEALTH_SCORE`."""
+        return 1 + self._score
 
     def record_ack(self) -> None:
         """Note a probe that was acknowledged in time."""
-        self._doubt = max(0, self._doubt - 1)
+        self._score = max(0, self._score - 1)
 
     def record_silence(self) -> None:
         """Note a probe in whose time nobody was heard."""
-        self._doubt = min(MAX_DOUBT, self._doubt + 1)
+        self._score = min(MAX_HEALTH_SCORE, self._score + 1)
 
     def record_pause(self) -> None:
         """Note that this process stood still."""
-        self._doubt = MAX_DOUBT
+        self._score = MAX_HEALTH_SCORE
 
 
 class ProbeOrder:
@@ -63,16 +63,16 @@
     def next(self, table: MemberTable) -> Member | None:
         """Return the next member to probe, ``None`` when there is none."""
         self._turn += 1
-        if self._turn % CROSS_EVERY == 0:
-            far = self._draw_far(table)
-            if far is not None:
-                return far
-        return self._next_near(table) or self._draw_far(table)
+        if self._turn % REMOTE_PROBE_INTERVAL == 0:
+            remote = self._draw_remote(table)
+            if remote is not None:
+                return remote
+        return self._next_local(table) or self._draw_remote(table)
 
-    def _next_near(self, table: MemberTable) -> Member | None:
+    def _next_local(self, table: MemberTable) -> Member | None:
         if not self._pending:
-            near = table.in_data_centre(table.own.data_centre)
-            self._pending = [m.node_id for m in near if m.node_id != table.own_id]
+            local = table.in_data_centre(table.own.data_centre)
+            self._pending = [m.node_id for m in local if m.node_id != table.own_id]
             self._rng.shuffle(self._pending)
         while self._pending:
             member = table.by_id.get(self._pending.pop())
@@ -80,10 +80,10 @@
                 return member
         return None
 
-    def _draw_far(self, table: MemberTable) -> Member | None:
+    def _draw_remote(self, table: MemberTable) -> Member | None:
         others = table.live_peers()
         own_data_centre = table.own.data_centre
-        for _ in range(CROSS_DRAWS if others else 0):
+        for _ in range(REMOTE_DRAWS if others else 0):
             member = self._rng.choice(others)
             if member.data_centre != own_data_centre:
                 return member
--- a/src/bulrushflow/membership/digests.py
+++ b/src/bulrushflow/membership/digests.py
@@ -30,17 +30,17 @@
         self._ids_by_bucket: list[set[str]] = [set() for _ in range(BUCKETS)]
         self._overall: int | None = None
 
-    def replace(self, held: Member | None, claim: Member | None) -> None:
+    def replace(self, old: Member | None, new: Member | None) -> None:
         """Take one member's entry out and put its new one in."""
-        for member in (held, claim):
+        for member in (old, new):
             if member is None:
                 continue
             bucket = bucket_of(member.node_id)
             if member.is_live:
                 self._words[bucket] ^= _digest(member)
-            if member is claim:
+            if member is new:
                 self._ids_by_bucket[bucket].add(member.node_id)
-            elif claim is None:
+            elif new is None:
                 self._ids_by_bucket[bucket].discard(member.node_id)
         self._overall = None
 
--- a/src/bulrushflow/membership/table.py
+++ b/src/bulrushflow/membership/table.py
@@ -8,14 +8,14 @@
 from bulrushflow.membership.members import Status
 from bulrushflow.membership.tombstones import Tombstones
 
-REMEMBER_DEAD_S = 3600.0
+DEAD_RETENTION_S = 3600.0
 """Dead members are asked again now and then, since a network may only have been cut."""
-REMEMBER_LEFT_S = 60.0
+LEFT_RETENTION_S = 60.0
 MAX_DEAD = 4096
-CONFLICT_REFUTE_S = 5.0
+MIN_CONFLICT_REFUTE_INTERVAL_S = 5.0
 """Shortest time between two refutations of another process with this node's id."""
-MAX_CONFLICTS = 64
-CONFLICTS_S = 3600.0
+MAX_CONFLICT_IDS = 64
+CONFLICT_WINDOW_S = 3600.0
 """Time after which the counts of conflicts begin anew, since instances do move now and then."""
 
 Endpoint = tuple[str, int]
@@ -78,16 +78,16 @@
     def merge(self, update: Member, now: float) -> bool:
         """Take in a claim about a member; return whether it changed the table.
 
-        A claim that this node itself is not alive is refuted with a higher incarnation.
+        A update that this node itself is not alive is refuted with a higher incarnation.
         """
         if update.node_id == self.own_id:
             return self._refute(update, now)
-        held = self.by_id.get(update.node_id)
-        if held is None:
+        current = self.by_id.get(update.node_id)
+        if current is None:
             return self._add(update, now)
-        if update.precedence <= held.precedence:
+        if update.precedence <= current.precedence:
             return False
-        if held.is_live and update.is_live and update.endpoint != held.endpoint:
+        if current.is_live and update.is_live and update.endpoint != current.endpoint:
             self._count_conflict(update.node_id)
         self._put(update)
         self._changed_at[update.node_id] = now
@@ -95,11 +95,11 @@
 
     def raise_status(self, node_id: str, status: Status, now: float) -> Member | None:
         """Raise a member's status at its present incarnation; ``None`` when nothing changed."""
-        held = self.by_id.get(node_id)
-        if held is None or held.status >= status:
+        current = self.by_id.get(node_id)
+        if current is None or current.status >= status:
             return None
-        claim = replace(held, status=status)
-        return claim if self.merge(claim, now) else None
+        update = replace(current, status=status)
+        return update if self.merge(update, now) else None
 
     def changed_at(self, node_id: str) -> float:
         """Return when the member's entry last changed, in seconds of the clock given."""
@@ -115,24 +115,24 @@
 
         To be called every few seconds.
         """
-        gone = [m for m in self.by_id.values() if not m.is_live and m.node_id != self.own_id]
-        gone.sort(key=lambda m: self.changed_at(m.node_id))
-        excess = len(gone) - MAX_DEAD
-        for i, member in enumerate(gone):
-            limit_s = REMEMBER_LEFT_S if member.status is Status.LEFT else REMEMBER_DEAD_S
-            if i < excess or now - self.changed_at(member.node_id) >= limit_s:
+        removable = [m for m in self.by_id.values() if not m.is_live and m.node_id != self.own_id]
+        removable.sort(key=lambda m: self.changed_at(m.node_id))
+        excess = len(removable) - MAX_DEAD
+        for i, member in enumerate(removable):
+            retention_s = LEFT_RETENTION_S if member.status is Status.LEFT else DEAD_RETENTION_S
+            if i < excess or now - self.changed_at(member.node_id) >= retention_s:
                 self.tombstones.add(member.node_id, member.incarnation, now)
                 self.remove(member.node_id)
         self.tombstones.expire(now)
-        if now - self._conflicts_since >= CONFLICTS_S:
+        if now - self._conflicts_since >= CONFLICT_WINDOW_S:
             self._conflicts_since = now
             self.conflicts_by_id.clear()
 
     def remove(self, node_id: str) -> None:
         """Drop a member."""
-        held = self.by_id.pop(node_id, None)
+        old = self.by_id.pop(node_id, None)
         self._changed_at.pop(node_id, None)
-        self._reindex(held, None)
+        self._reindex(old, None)
 
     def live_members(self) -> list[Member]:
         """Return the members that may be talked to: alive or only suspected."""
@@ -146,8 +146,8 @@
 
     def in_data_centre(self, data_centre: str) -> list[Member]:
         """Return :meth:`live_members` in one data centre."""
-        near = self._live_by_data_centre.get(data_centre, {})
-        return self._cached("data_centre", data_centre, lambda: list(near.values()))
+        members = self._live_by_data_centre.get(data_centre, {})
+        return self._cached("data_centre", data_centre, lambda: list(members.values()))
 
     def suspects(self) -> list[Member]:
         """Return the members under suspicion."""
@@ -160,11 +160,11 @@
     def ready_targets(self, service: str, version: str) -> list[Member]:
         """Return the members whose targets take new calls for a service version."""
         key = (service, version)
-        held = self._ready_lists_by_version.get(key)
-        if held is None:
-            held = list(self._ready_by_version.get(key, {}).values())
-            self._ready_lists_by_version[key] = held
-        return held
+        cached = self._ready_lists_by_version.get(key)
+        if cached is None:
+            cached = list(self._ready_by_version.get(key, {}).values())
+            self._ready_lists_by_version[key] = cached
+        return cached
 
     def in_buckets(self, buckets: t.Iterable[int]) -> list[Member]:
         """Return the live and left members of some buckets of the digests.
@@ -193,70 +193,70 @@
 
         The answer is meant for that node alone, since a tombstone no longer holds the whole entry.
         """
-        held = self.by_id.get(node_id)
-        if held is None:
-            forgotten = self.tombstones.covering(node_id, incarnation)
-            if forgotten is None:
+        current = self.by_id.get(node_id)
+        if current is None:
+            removed = self.tombstones.covering(node_id, incarnation)
+            if removed is None:
                 return None
-            return Member(node_id, "", *endpoint, forgotten, Status.DEAD)
-        if held.incarnation < incarnation:
+            return Member(node_id, "", *endpoint, removed, Status.DEAD)
+        if current.incarnation < incarnation:
             return None
-        if held.incarnation == incarnation and held.status is Status.ALIVE:
+        if current.incarnation == incarnation and current.status is Status.ALIVE:
             return None
-        return held
+        return current
 
-    def _add(self, claim: Member, now: float) -> bool:
-        if self.tombstones.covering(claim.node_id, claim.incarnation) is not None:
+    def _add(self, update: Member, now: float) -> bool:
+        if self.tombstones.covering(update.node_id, update.incarnation) is not None:
             return False
-        if not claim.is_live:
+        if not update.is_live:
             # Nothing to forget but the claim, which must hold against older ones.
-            self.tombstones.add(claim.node_id, claim.incarnation, now)
+            self.tombstones.add(update.node_id, update.incarnation, now)
             return False
-        self.tombstones.discard(claim.node_id)
-        self._put(claim)
-        self._changed_at[claim.node_id] = now
+        self.tombstones.discard(update.node_id)
+        self._put(update)
+        self._changed_at[update.node_id] = now
         return True
 
-    def _refute(self, claim: Member, now: float) -> bool:
+    def _refute(self, update: Member, now: float) -> bool:
         own = self.own
-        if own.status is Status.LEFT or claim.precedence <= own.precedence:
+        if own.status is Status.LEFT or update.precedence <= own.precedence:
             return False
-        if claim.endpoint != own.endpoint and claim.is_live:
-            self._count_conflict(claim.node_id)
+        if update.endpoint != own.endpoint and update.is_live:
+            self._count_conflict(update.node_id)
             if now < self._refute_after:
                 return False
-            self._refute_after = now + CONFLICT_REFUTE_S
-        self._put(replace(own, incarnation=claim.incarnation + 1))
+            self._refute_after = now + MIN_CONFLICT_REFUTE_INTERVAL_S
+        self._put(replace(own, incarnation=update.incarnation + 1))
         return True
 
     def _count_conflict(self, node_id: str) -> None:
-        if node_id in self.conflicts_by_id or len(self.conflicts_by_id) < MAX_CONFLICTS:
+        if node_id in self.conflicts_by_id or len(self.conflicts_by_id) < MAX_CONFLICT_IDS:
             self.conflicts_by_id[node_id] = self.conflicts_by_id.get(node_id, 0) + 1
 
     def _others(self, status: Status) -> dict[str, Member]:
         return self._others_by_status[status]
 
     def _cached(self, kind: str, key: str, make: t.Callable[[], list[Member]]) -> list[Member]:
-        held = self._lists_by_key.get((kind, key))
-        if held is None:
-            held = make()
-            self._lists_by_key[kind, key] = held
-        return held
-
-    def _put(self, claim: Member) -> None:
-        held = self.by_id.get(claim.node_id)
-        self.by_id[claim.node_id] = claim
-        self._reindex(held, claim)
-
-    def _reindex(self, held: Member | None, claim: Member | None) -> None:
+        cached = self._lists_by_key.get((kind, key))
+        if cached is None:
+            cached = make()
+            self._lists_by_key[kind, key] = cached
+        return cached
+
+    def _put(self, update: Member) -> None:
+        current = self.by_id.get(update.node_id)
+        self.by_id[update.node_id] = update
+        self._reindex(current, update)
+
+    def _reindex(self, old: Member | None, new: Member | None) -> None:
         self.version += 1
         self._lists_by_key.clear()
         self._ready_lists_by_version.clear()
-        self._digests.replace(held, claim)
-        if held is not None:
-            self._unindex(held)
-        if claim is not None:
-            self._index(claim)
+        self._digests.replace(old, new)
+        if old is not None:
+            self._unindex(old)
+        if new is not None:
+            self._index(new)
 
     def _index(self, member: Member) -> None:
         if member.node_id != self.own_id:
--- a/src/bulrushflow/membership/tombstones.py
+++ b/src/bulrushflow/membership/tombstones.py
@@ -1,6 +1,6 @@
 """Memory of forgotten members, so that late claims cannot bring them back."""
 
-TOMBSTONE_S = 2 * 3600.0
+TOMBSTONE_TTL_S = 2 * 3600.0
 MAX_TOMBSTONES = 8192
 
 
@@ -17,26 +17,26 @@
 
     def add(self, node_id: str, incarnation: int, now: float) -> None:
         """Remember a forgotten member; the oldest one makes room when there are too many."""
-        held = self._by_id.pop(node_id, None)
-        if held is not None:
-            incarnation = max(incarnation, held[0])
+        current = self._by_id.pop(node_id, None)
+        if current is not None:
+            incarnation = max(incarnation, current[0])
         self._by_id[node_id] = (incarnation, now)
         if len(self._by_id) > MAX_TOMBSTONES:
             del self._by_id[next(iter(self._by_id))]
 
     def covering(self, node_id: str, incarnation: int) -> int | None:
         """Return the forgotten incarnation when a claim at ``incarnation`` is no newer."""
-        held = self._by_id.get(node_id)
-        return held[0] if held is not None and incarnation <= held[0] else None
+        current = self._by_id.get(node_id)
+        return current[0] if current is not None and incarnation <= current[0] else None
 
     def discard(self, node_id: str) -> None:
         """Drop the tombstone of a member that came back."""
         self._by_id.pop(node_id, None)
 
     def expire(self, now: float) -> None:
-        """Drop tombstones older than :data:`TOMBSTONE_S`."""
+        """Drop tombstones older than :data:`TOMBSTONE_TTL_S`."""
         while self._by_id:
             node_id, (_, added_at) = next(iter(self._by_id.items()))
-            if now - added_at < TOMBSTONE_S:
+            if now - added_at < TOMBSTONE_TTL_S:
                 return
             del self._by_id[node_id]
--- a/src/bulrushflow/membership/update_queue.py
+++ b/src/bulrushflow/membership/update_queue.py
@@ -53,61 +53,63 @@
         if not keys:
             del self._keys_by_rank[rank]
 
-    def discard_from(self, lowest: int) -> None:
-        """Drop all items whose priority comes at or after ``lowest``."""
+    def discard_from(self, priority_from: int) -> None:
+        """Drop all items whose priority comes at or after ``priority_from``."""
         for key, (priority, _) in list(self._rank_by_key.items()):
-            if priority >= lowest:
+            if priority >= priority_from:
                 self.discard(key)
 
-    def count_as_sent(self, limit: int, last: int) -> None:
+    def count_as_sent(self, max_transmissions: int, priority_to: int) -> None:
         """Count the items up to a priority as passed on once more.
 
         For a receiver that is known to hold them already.
         """
         for rank in sorted(self._keys_by_rank, reverse=True):
             priority, count = rank
-            if priority > last:
+            if priority > priority_to:
                 continue
             for key in list(self._keys_by_rank[rank]):
                 self.discard(key)
-                if count + 1 < limit:
+                if count + 1 < max_transmissions:
                     self._put(key, (priority, count + 1))
 
     def next_batch(
         self,
         budget_bytes: int,
         size: t.Callable[[K], int],
-        limit: int,
-        only: int | None = None,
+        max_transmissions: int,
+        only_priority: int | None = None,
     ) -> list[K]:
         """Return the items for one datagram and count them as passed on once more.
 
         :param size: bytes that an item takes, 0 when it is no longer known.
-        :param limit: how often an item is passed on before it is dropped.
-        :param only: the one priority to take, all when ``None``.
+        :param max_transmissions: how often an item is passed on before it is dropped.
+        :param only_priority: the one priority to take, all when ``None``.
         """
-        taken = []
-        for key in self._first(budget_bytes, size, only):
+        batch = []
+        for key in self._select(budget_bytes, size, only_priority):
             priority, count = self._rank_by_key[key]
             self.discard(key)
             if not size(key):
                 continue
-            taken.append(key)
-            if count + 1 < limit:
+            batch.append(key)
+            if count + 1 < max_transmissions:
                 self._put(key, (priority, count + 1))
-        return taken
+        return batch
 
-    def _first(self, budget_bytes: int, size: t.Callable[[K], int], only: int | None) -> list[K]:
-        first: list[K] = []
+    def _select(
+        self, budget_bytes: int, size: t.Callable[[K], int], only_priority: int | None
+    ) -> list[K]:
+        selected: list[K] = []
         for rank in sorted(self._keys_by_rank):
-            if only is not None and rank[0] != only:
+            if only_priority is not None and rank[0] != only_priority:
                 continue
             for key in self._keys_by_rank[rank]:
                 budget_bytes -= size(key)
                 if budget_bytes < 0:
-                    return first
-                first.append(key)
-        return first
+                    return selected
+                selected.append(key)
+        return selected
 
     def _put(self, key: K, rank: tuple[int, int]) -> None:
         self._rank_by_key[key] = rank
--- a/tests/membership/test_table.py
+++ b/tests/membership/test_table.py
@@ -16,12 +16,12 @@
 from bulrushflow.membership import Status
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
-from bulrushflow.membership.table import CONFLICT_REFUTE_S
-from bulrushflow.membership.table import CONFLICTS_S
+from bulrushflow.membership.table import CONFLICT_WINDOW_S
+from bulrushflow.membership.table import DEAD_RETENTION_S
 from bulrushflow.membership.table import MAX_DEAD
-from bulrushflow.membership.table import REMEMBER_DEAD_S
+from bulrushflow.membership.table import MIN_CONFLICT_REFUTE_INTERVAL_S
 from bulrushflow.membership.tombstones import MAX_TOMBSTONES
-from bulrushflow.membership.tombstones import TOMBSTONE_S
+from bulrushflow.membership.tombstones import TOMBSTONE_TTL_S
 from bulrushflow.membership.tombstones import Tombstones
 
 OWN = Member("own", "celje-a", "127.0.0.1", 1, 1)
@@ -115,7 +115,7 @@
                 if status is not Status.ALIVE:
                     peers.raise_status("a", status, 0.0)
                 if name == "forgotten":
-                    peers.reap(REMEMBER_DEAD_S)
+                    peers.reap(DEAD_RETENTION_S)
                 restarted = MemberTable(replace(PEER, incarnation=100, peer_port=9))
                 own = restarted.own
                 self.assertFalse(peers.merge(own, 1.0))
@@ -132,7 +132,7 @@
         table = MemberTable(OWN)
         for i in range(10):
             claim = replace(OWN, peer_port=9, incarnation=table.own.incarnation + 5)
-            table.merge(claim, i * CONFLICT_REFUTE_S / 5)
+            table.merge(claim, i * MIN_CONFLICT_REFUTE_INTERVAL_S / 5)
         self.assertEqual(table.conflicts_by_id["own"], 10)
         self.assertLessEqual(table.own.incarnation, 1 + 2 * 6)
         self.assertEqual(table.own.peer_port, 1)
@@ -142,20 +142,20 @@
         for i in range(4):
             table.merge(replace(PEER, incarnation=i + 1, peer_port=2 + i % 2), 0.0)
         self.assertEqual(table.conflicts_by_id, {"a": 3})
-        table.reap(CONFLICTS_S)
+        table.reap(CONFLICT_WINDOW_S)
         self.assertEqual(table.conflicts_by_id, {})
 
 
 class ReapTests(unittest.TestCase):
     def test_a_forgotten_member_is_not_brought_back_by_late_claims(self) -> None:
         table = merged([PEER, replace(PEER, status=Status.DEAD)])
-        table.reap(REMEMBER_DEAD_S - 1)
+        table.reap(DEAD_RETENTION_S - 1)
         self.assertIn("a", table.by_id)
-        table.reap(REMEMBER_DEAD_S)
+        table.reap(DEAD_RETENTION_S)
         self.assertNotIn("a", table.by_id)
         for status in Status:
-            self.assertFalse(table.merge(replace(PEER, status=status), REMEMBER_DEAD_S))
-        self.assertTrue(table.merge(replace(PEER, incarnation=6), REMEMBER_DEAD_S))
+            self.assertFalse(table.merge(replace(PEER, status=status), DEAD_RETENTION_S))
+        self.assertTrue(table.merge(replace(PEER, incarnation=6), DEAD_RETENTION_S))
 
     def test_a_dead_member_never_met_is_not_taken_in(self) -> None:
         table = merged([replace(PEER, status=Status.DEAD)])
@@ -176,7 +176,7 @@
         for i in range(MAX_TOMBSTONES + 5):
             tombstones.add(f"n{i}", 1, float(i >= 10))
         self.assertEqual(len(tombstones), MAX_TOMBSTONES)
-        tombstones.expire(TOMBSTONE_S)
+        tombstones.expire(TOMBSTONE_TTL_S)
         self.assertIsNone(tombstones.covering("n9", 1))
         self.assertEqual(tombstones.covering("n10", 1), 1)
 
@@ -214,7 +214,7 @@
     def mark(self, node_id: str, status: Status) -> None:
         self.table.raise_status(node_id, status, self.now)
 
-    @rule(seconds=st.sampled_from([1.0, REMEMBER_DEAD_S]))
+    @rule(seconds=st.sampled_from([1.0, DEAD_RETENTION_S]))
     def reap(self, seconds: float) -> None:
         self.now += seconds
         self.highest_gone = {}
