--- a/benchmarks/mechanisms.py
+++ b/benchmarks/mechanisms.py
@@ -94,7 +94,7 @@
         (
             Edit(
                 "configuration/store.py",
-                "if held is not None and held != mark.digest:",
+                "if local_digest is not None and local_digest != mark.digest:",
                 "if False:",
             ),
         ),
--- a/src/bulrushflow/configuration/fold.py
+++ b/src/bulrushflow/configuration/fold.py
@@ -115,9 +115,9 @@
         return Ok(_rejected(configuration, log_record, header, reason))
     if header.schema > supported:
         return Err(f"schema {header.schema} is above the supported schema {supported}")
-    fault = _made_at_fault(log_record, header)
-    if fault:
-        return Ok(_rejected(configuration, log_record, header, fault))
+    error = _made_at_error(log_record, header)
+    if error:
+        return Ok(_rejected(configuration, log_record, header, error))
     match decode_body(header, log_record.body):
         case Err(reason):
             return Ok(_rejected(configuration, log_record, header, reason))
@@ -143,7 +143,7 @@
     return Ok(_with_verdict(changed, verdict))
 
 
-def _made_at_fault(log_record: LogRecord, header: RecordHeader) -> str | None:
+def _made_at_error(log_record: LogRecord, header: RecordHeader) -> str | None:
     if header.made_at is None:
         if header.schema >= MADE_AT_SCHEMA and header.kind in OPERATOR_KINDS:
             return f"made_at is missing; schema {header.schema} requires it"
--- a/src/bulrushflow/configuration/freshness.py
+++ b/src/bulrushflow/configuration/freshness.py
@@ -5,13 +5,13 @@
 
 PAUSE_THRESHOLD_S = 2.0
 """A gap of this length between two looks at the clock means that the process stood still."""
-PEERS_NEEDED = 2
-DATA_CENTRES_NEEDED = 2
-HINT_TTL_S = 10.0
+MIN_FRESH_PEERS = 2
+MIN_DATA_CENTRES = 2
+ADVERTISED_OFFSET_TTL_S = 10.0
 """How long a version that was only heard of holds up readiness, as its holder may be gone."""
-READER_TRUSTED_AFTER_S = 2.0
+LOG_READER_ACCEPTED_AFTER_S = 2.0
 """From so far into a check on, one peer that reads the log stands for the log."""
-MANY_PEERS = 5
+MIN_CHECKING_PEERS = 5
 CHECKING_PEERS_ACCEPTED_AFTER_S = 5.0
 """From so far into a check on, many peers stand for fresh ones, as all may have been paused."""
 
@@ -34,14 +34,14 @@
     """
 
     __slots__ = (
-        "_began_at",
-        "_every_offset_by_peer",
-        "_heard_by_peer",
-        "_hint",
-        "_hint_at",
+        "_advertised_at",
+        "_advertised_offset",
+        "_check_began_at",
+        "_fresh_offset_by_peer",
+        "_last_reading_at",
         "_log_offset",
-        "_looked_at",
-        "_reader_offset",
+        "_log_reader_offset",
+        "_offset_by_peer",
         "generation",
         "is_fresh",
         "was_fresh",
@@ -52,19 +52,19 @@
         self.was_fresh = False
         """Whether a check has ended since the start, here or on a peer that was heard."""
         self.generation = 0
-        self._every_offset_by_peer: dict[Peer, int] = {}
-        self._looked_at = now
-        self._began_at = now
-        self._reader_offset: int | None = None
+        self._offset_by_peer: dict[Peer, int] = {}
+        self._last_reading_at = now
+        self._check_began_at = now
+        self._log_reader_offset: int | None = None
         self._log_offset: int | None = None
-        self._heard_by_peer: dict[Peer, int] = {}
-        self._hint = -1
-        self._hint_at = now
+        self._fresh_offset_by_peer: dict[Peer, int] = {}
+        self._advertised_offset = -1
+        self._advertised_at = now
 
     def detect_pause(self, now: float) -> bool:
         """Note the time; return whether a pause was found, which begins a check."""
-        gap_s = now - self._looked_at
-        self._looked_at = now
+        gap_s = now - self._last_reading_at
+        self._last_reading_at = now
         if gap_s <= PAUSE_THRESHOLD_S:
             return False
         self.begin_check()
@@ -74,11 +74,11 @@
         """Forget what was heard; the node is fresh again once it heard enough anew."""
         self.is_fresh = False
         self.generation += 1
-        self._began_at = self._looked_at
+        self._check_began_at = self._last_reading_at
         self._log_offset = None
-        self._reader_offset = None
-        self._heard_by_peer.clear()
-        self._every_offset_by_peer.clear()
+        self._log_reader_offset = None
+        self._fresh_offset_by_peer.clear()
+        self._offset_by_peer.clear()
 
     def record_log_offset(self, generation: int, last_offset: int) -> None:
         """Note the highest offset on the log."""
@@ -94,11 +94,11 @@
         """
         if generation != self.generation:
             return
-        self._heard_by_peer[peer] = max(offset, self._heard_by_peer.get(peer, -1))
-        self._every_offset_by_peer[peer] = offset
+        self._fresh_offset_by_peer[peer] = max(offset, self._fresh_offset_by_peer.get(peer, -1))
+        self._offset_by_peer[peer] = offset
         self.was_fresh = True
         if reads_log:
-            self._reader_offset = offset
+            self._log_reader_offset = offset
 
     def record_checking_peer(
         self, generation: int, peer: Peer, offset: int, was_fresh: bool
@@ -108,50 +108,52 @@
         :param was_fresh: whether the peer, or one it heard, has ever ended a check.
         """
         if generation == self.generation:
-            self._every_offset_by_peer[peer] = offset
+            self._offset_by_peer[peer] = offset
             self.was_fresh = self.was_fresh or was_fresh
 
     def record_advertised_offset(self, offset: int, now: float) -> None:
         """Note a version that some node holds, on hearsay."""
-        if offset >= self._hint or now - self._hint_at > HINT_TTL_S:
-            self._hint = offset
-            self._hint_at = now
+        if offset >= self._advertised_offset or now - self._advertised_at > ADVERTISED_OFFSET_TTL_S:
+            self._advertised_offset = offset
+            self._advertised_at = now
 
-    def evaluate(self, held: int, own: Peer, others: t.Collection[Peer], now: float) -> bool:
+    def evaluate(
+        self, applied_offset: int, own: Peer, others: t.Collection[Peer], now: float
+    ) -> bool:
         """End the check if enough was heard and the version held is the highest of it.
 
         :param others: the nodes that are believed to be alive.
         """
         if self.is_fresh:
             return True
-        if not self._enough_heard(own, others, now):
+        if not self._has_enough_reports(own, others, now):
             return False
-        highest = max(self._every_offset_by_peer.values(), default=-1)
+        highest = max(self._offset_by_peer.values(), default=-1)
         if self._log_offset is not None:
             highest = max(highest, self._log_offset)
-        if now - self._hint_at <= HINT_TTL_S:
-            highest = max(highest, self._hint)
-        self.is_fresh = held >= highest
+        if now - self._advertised_at <= ADVERTISED_OFFSET_TTL_S:
+            highest = max(highest, self._advertised_offset)
+        self.is_fresh = applied_offset >= highest
         self.was_fresh = self.was_fresh or self.is_fresh
         return self.is_fresh
 
-    def _enough_heard(self, own: Peer, others: t.Collection[Peer], now: float) -> bool:
-        if self._log_offset is not None or self._enough_peers(own, others):
+    def _has_enough_reports(self, own: Peer, others: t.Collection[Peer], now: float) -> bool:
+        if self._log_offset is not None or self._has_enough_fresh_peers(own, others):
             return True
         # Where too few peers are fresh, waiting for each other would never end.
-        checked_s = now - self._began_at
-        if checked_s >= READER_TRUSTED_AFTER_S and self._reader_offset is not None:
+        check_s = now - self._check_began_at
+        if check_s >= LOG_READER_ACCEPTED_AFTER_S and self._log_reader_offset is not None:
             return True
-        heard = sum(1 for peer in self._every_offset_by_peer if peer in others)
-        many = heard >= max(1, min(MANY_PEERS, len(others)))
-        return many and self.was_fresh and checked_s >= CHECKING_PEERS_ACCEPTED_AFTER_S
+        reporting = sum(1 for peer in self._offset_by_peer if peer in others)
+        many = reporting >= max(1, min(MIN_CHECKING_PEERS, len(others)))
+        return many and self.was_fresh and check_s >= CHECKING_PEERS_ACCEPTED_AFTER_S
 
-    def _enough_peers(self, own: Peer, others: t.Collection[Peer]) -> bool:
-        heard = [peer for peer in self._heard_by_peer if peer in others]
-        if not heard or len(heard) < min(PEERS_NEEDED, len(others)):
+    def _has_enough_fresh_peers(self, own: Peer, others: t.Collection[Peer]) -> bool:
+        fresh = [peer for peer in self._fresh_offset_by_peer if peer in others]
+        if not fresh or len(fresh) < min(MIN_FRESH_PEERS, len(others)):
             return False
         if all(peer.data_centre == own.data_centre for peer in others):
             return True
         data_centres = {peer.data_centre for peer in others}
-        needed = min(DATA_CENTRES_NEEDED, len(data_centres))
-        return len({peer.data_centre for peer in heard}) >= needed
+        needed = min(MIN_DATA_CENTRES, len(data_centres))
+        return len({peer.data_centre for peer in fresh}) >= needed
--- a/src/bulrushflow/configuration/model.py
+++ b/src/bulrushflow/configuration/model.py
@@ -114,14 +114,14 @@
 
     def active_rollout(self, service: str) -> Rollout | None:
         """Return the service's move that has no final record, if any."""
-        for move in self.moves_by_id.values():
-            if move.service == service and move.status is RolloutStatus.ACTIVE:
-                return move
+        for rollout in self.moves_by_id.values():
+            if rollout.service == service and rollout.status is RolloutStatus.ACTIVE:
+                return rollout
         return None
 
     def active_rollouts(self) -> list[Rollout]:
         """Return all moves that have no final record."""
-        return [m for m in self.moves_by_id.values() if m.status is RolloutStatus.ACTIVE]
+        return [r for r in self.moves_by_id.values() if r.status is RolloutStatus.ACTIVE]
 
 
 def encode_configuration(configuration: Configuration) -> bytes:
@@ -129,7 +129,7 @@
     return msgspec.json.encode(configuration, order="deterministic")
 
 
-class _Level(msgspec.Struct):
+class _SchemaLevel(msgspec.Struct):
     schema_level: int
 
 
@@ -140,7 +140,7 @@
         its unknown fields would be lost.
     """
     try:
-        level = msgspec.json.decode(data, type=_Level).schema_level
+        level = msgspec.json.decode(data, type=_SchemaLevel).schema_level
         if level > supported:
             return Err(f"schema level {level} is above the supported level {supported}")
         decoded = msgspec.json.decode(data, type=Configuration)
@@ -152,9 +152,9 @@
 def _in_offset_order(configuration: Configuration) -> Configuration:
     """Restore the order by which the oldest entries leave; the encoding sorts by key instead."""
     verdicts = sorted(configuration.verdicts_by_publish_id.items(), key=lambda i: i[1].offset)
-    moves = sorted(configuration.moves_by_id.items(), key=lambda i: i[1].offset)
+    rollouts = sorted(configuration.moves_by_id.items(), key=lambda i: i[1].offset)
     return msgspec.structs.replace(
-        configuration, verdicts_by_publish_id=dict(verdicts), moves_by_id=dict(moves)
+        configuration, verdicts_by_publish_id=dict(verdicts), moves_by_id=dict(rollouts)
     )
 
 
--- a/src/bulrushflow/configuration/rollout_rules.py
+++ b/src/bulrushflow/configuration/rollout_rules.py
@@ -1,4 +1,4 @@
-"""Rules for records that start, account for and end moves."""
+"""Rules for records that start, account for and end rollouts."""
 
 import msgspec
 from result import Err
@@ -15,7 +15,7 @@
 from bulrushflow.configuration.records import StartRollout
 from bulrushflow.configuration.records import WithdrawRollout
 
-MAX_FINISHED_MOVES = 64
+MAX_FINISHED_ROLLOUTS = 64
 """Finished moves whose account stays in the state."""
 
 
@@ -39,7 +39,7 @@
         return Err(f"service {record.service!r} is at version {record.to_version!r} already")
     if record.finish_by_ms <= at_ms:
         return Err("the time to finish by has passed")
-    move = Rollout(
+    rollout = Rollout(
         move_id=record.publish_id,
         offset=offset,
         service=record.service,
@@ -49,38 +49,38 @@
         finish_by_ms=record.finish_by_ms,
         operator=record.operator,
     )
-    return Ok(_with_move(configuration, move))
+    return Ok(_with_rollout(configuration, rollout))
 
 
-def _with_move(configuration: Configuration, move: Rollout) -> Configuration:
-    moves = {**configuration.moves_by_id, move.move_id: move}
-    finished = [m for m in moves.values() if m.status is not RolloutStatus.ACTIVE]
-    for old in finished[: max(0, len(finished) - MAX_FINISHED_MOVES)]:
-        del moves[old.move_id]
-    return msgspec.structs.replace(configuration, moves_by_id=moves)
+def _with_rollout(configuration: Configuration, rollout: Rollout) -> Configuration:
+    rollouts = {**configuration.moves_by_id, rollout.move_id: rollout}
+    finished = [r for r in rollouts.values() if r.status is not RolloutStatus.ACTIVE]
+    for old in finished[: max(0, len(finished) - MAX_FINISHED_ROLLOUTS)]:
+        del rollouts[old.move_id]
+    return msgspec.structs.replace(configuration, moves_by_id=rollouts)
 
 
-def _active(configuration: Configuration, move_id: str) -> Result[Rollout, str]:
-    move = configuration.moves_by_id.get(move_id)
-    if move is None:
+def _active_rollout(configuration: Configuration, move_id: str) -> Result[Rollout, str]:
+    rollout = configuration.moves_by_id.get(move_id)
+    if rollout is None:
         return Err(f"unknown move {move_id!r}")
-    if move.status is not RolloutStatus.ACTIVE:
+    if rollout.status is not RolloutStatus.ACTIVE:
         return Err(
-            f"move {move_id!r} is {move.status} already, at offset {move.finished_offset} "
-            f"by {move.decided_by}"
+            f"move {move_id!r} is {rollout.status} already, at offset {rollout.finished_offset} "
+            f"by {rollout.decided_by}"
         )
-    return Ok(move)
+    return Ok(rollout)
 
 
 def withdraw(
     configuration: Configuration, offset: int, at_ms: int, record: WithdrawRollout
 ) -> Result[Configuration, str]:
     """End a move on an operator's word."""
-    return _active(configuration, record.move_id).map(
-        lambda move: _with_move(
+    return _active_rollout(configuration, record.move_id).map(
+        lambda rollout: _with_rollout(
             configuration,
             msgspec.structs.replace(
-                move,
+                rollout,
                 status=RolloutStatus.WITHDRAWN,
                 finished_at_ms=at_ms,
                 finished_offset=offset,
@@ -98,9 +98,9 @@
     entry = RolloutStep(
         offset, at_ms, record.share_permille, record.rule, record.evidence, record.node_id
     )
-    return _active(configuration, record.move_id).map(
-        lambda move: _with_move(
-            configuration, msgspec.structs.replace(move, steps=(*move.steps, entry))
+    return _active_rollout(configuration, record.move_id).map(
+        lambda rollout: _with_rollout(
+            configuration, msgspec.structs.replace(rollout, steps=(*rollout.steps, entry))
         )
     )
 
@@ -109,13 +109,13 @@
     configuration: Configuration, offset: int, at_ms: int, record: FinishRollout
 ) -> Result[Configuration, str]:
     """End a move on the system's word; a finished one puts its version in place."""
-    match _active(configuration, record.move_id):
+    match _active_rollout(configuration, record.move_id):
         case Err(reason):
             return Err(reason)
-        case Ok(move):
+        case Ok(rollout):
             pass
     finished = msgspec.structs.replace(
-        move,
+        rollout,
         status=RolloutStatus.ROLLED_BACK if record.taken_back else RolloutStatus.COMPLETED,
         finished_at_ms=at_ms,
         finished_offset=offset,
@@ -123,9 +123,9 @@
         evidence=record.evidence,
         decided_by=record.node_id,
     )
-    changed = _with_move(configuration, finished)
+    changed = _with_rollout(configuration, finished)
     if record.taken_back:
         return Ok(changed)
-    service = Service(move.service, move.to_version, offset)
-    services = {**changed.services_by_name, move.service: service}
+    service = Service(rollout.service, rollout.to_version, offset)
+    services = {**changed.services_by_name, rollout.service: service}
     return Ok(msgspec.structs.replace(changed, services_by_name=services))
--- a/src/bulrushflow/configuration/rules.py
+++ b/src/bulrushflow/configuration/rules.py
@@ -23,11 +23,11 @@
         return Err(conflict)
     services = dict(configuration.services_by_name)
     for name, service in record.services.items():
-        move = configuration.active_rollout(name)
-        if move:
+        rollout = configuration.active_rollout(name)
+        if rollout:
             return Err(
-                f"service {name!r} has an active move: {move.move_id!r}, stated at offset "
-                f"{move.offset} by {move.operator}"
+                f"service {name!r} has an active move: {rollout.move_id!r}, stated at offset "
+                f"{rollout.offset} by {rollout.operator}"
             )
         if service is None:
             services.pop(name, None)
@@ -59,19 +59,19 @@
 def _base_conflict(configuration: Configuration, record: ConfigureV2) -> str | None:
     for key, base_offset in record.base.items():
         kind, _, name = key.partition("/")
-        held: Service | Route | None
+        current: Service | Route | None
         if kind == "service":
-            held = configuration.services_by_name.get(name)
+            current = configuration.services_by_name.get(name)
         elif kind == "route":
-            held = configuration.routes_by_path.get(name)
+            current = configuration.routes_by_path.get(name)
         else:
             return f"base key {key!r} is neither service/NAME nor route/PATH"
-        if held is None and base_offset >= 0:
+        if current is None and base_offset >= 0:
             return f"{key} changed: it is gone, the record was based on offset {base_offset}"
-        if held is not None and held.offset != base_offset:
+        if current is not None and current.offset != base_offset:
             return (
-                f"{key} changed: {_publisher(configuration, held.offset)} came first, the record "
-                f"was based on offset {base_offset}"
+                f"{key} changed: {_publisher(configuration, current.offset)} came first, the "
+                f"record was based on offset {base_offset}"
             )
     return None
 
--- a/src/bulrushflow/configuration/store.py
+++ b/src/bulrushflow/configuration/store.py
@@ -37,9 +37,9 @@
 
     __slots__ = (
         "_digests_by_offset",
-        "_held_bytes",
         "_packed",
         "_records",
+        "_retained_bytes",
         "_subscribers",
         "_supported",
         "current",
@@ -52,7 +52,7 @@
         """Why the next record can't be applied by this release; empty when it can."""
         self._supported = supported
         self._records: deque[LogRecord] = deque()
-        self._held_bytes = 0
+        self._retained_bytes = 0
         self._packed: tuple[int, bytes] = (-1, b"")
         self._digests_by_offset: OrderedDict[int, str] = OrderedDict()
         self._subscribers: list[Subscriber] = []
@@ -69,16 +69,16 @@
 
         :raises InvariantError: when a snapshot on the log differs from what this node held.
         """
-        run = self._next_run(records)
-        if not run:
+        next_records = self._next_records(records)
+        if not next_records:
             return 0
-        folded = fold_records(self.current, run, self._supported)
+        folded = fold_records(self.current, next_records, self._supported)
         count = folded.configuration.offset - self.current.offset
         if count:
             self._check_snapshot(folded.configuration.newest_snapshot)
-            self._hold(run[:count])
+            self._retain(next_records[:count])
             self._swap(folded.configuration)
-        self._stop_at(folded.unsupported)
+        self._set_unsupported(folded.unsupported)
         return count
 
     def restore(self, snapshot: Configuration) -> bool:
@@ -86,7 +86,7 @@
         if snapshot.offset <= self.current.offset or snapshot.schema_level > self._supported:
             return False
         self._records.clear()
-        self._held_bytes = 0
+        self._retained_bytes = 0
         self.unsupported = ""
         self._swap(snapshot)
         return True
@@ -126,18 +126,18 @@
             page.append(record)
         return page
 
-    def _next_run(self, records: t.Iterable[LogRecord]) -> list[LogRecord]:
-        run: list[LogRecord] = []
+    def _next_records(self, records: t.Iterable[LogRecord]) -> list[LogRecord]:
+        next_records: list[LogRecord] = []
         next_offset = self.current.offset + 1
         for record in records:
             if record.offset == next_offset:
-                run.append(record)
+                next_records.append(record)
                 next_offset += 1
             elif record.offset > next_offset:
                 break
-        return run
+        return next_records
 
-    def _stop_at(self, reason: str) -> None:
+    def _set_unsupported(self, reason: str) -> None:
         if reason and reason != self.unsupported:
             logger.error(
                 "version {} stays in force, this release can't go on: {}",
@@ -147,19 +147,21 @@
         self.unsupported = reason
 
     def _check_snapshot(self, mark: SnapshotMark) -> None:
-        held = self._digests_by_offset.get(mark.state_offset)
-        if held is not None and held != mark.digest:
+        local_digest = self._digests_by_offset.get(mark.state_offset)
+        if local_digest is not None and local_digest != mark.digest:
             raise InvariantError(
-                f"version {mark.state_offset} has digest {held} here and {mark.digest} in the "
-                f"snapshot at offset {mark.record_offset}"
+                f"version {mark.state_offset} has digest {local_digest} here and {mark.digest} in "
+                f"the snapshot at offset {mark.record_offset}"
             )
 
-    def _hold(self, records: list[LogRecord]) -> None:
+    def _retain(self, records: list[LogRecord]) -> None:
         for record in records:
             self._records.append(record)
-            self._held_bytes += len(record.body)
-        while len(self._records) > MAX_RETAINED_RECORDS or self._held_bytes > MAX_RETAINED_BYTES:
-            self._held_bytes -= len(self._records.popleft().body)
+            self._retained_bytes += len(record.body)
+        while (
+            len(self._records) > MAX_RETAINED_RECORDS or self._retained_bytes > MAX_RETAINED_BYTES
+        ):
+            self._retained_bytes -= len(self._records.popleft().body)
 
     def _swap(self, configuration: Configuration) -> None:
         self.current = configuration
