--- a/src/bulrushflow/membership/table.py
+++ b/src/bulrushflow/membership/table.py
@@ -275,9 +275,9 @@
             _remove(self._ready_by_version, member.ready_version, member.node_id)
 
 
-def _remove(ids_by_key: dict[K, dict[str, Member]], key: K, node_id: str) -> None:
+def _remove(members_by_key: dict[K, dict[str, Member]], key: K, node_id: str) -> None:
     """Take an id out of one key's members, and the key with the last of them."""
-    members_by_id = ids_by_key[key]
+    members_by_id = members_by_key[key]
     del members_by_id[node_id]
     if not members_by_id:
-        del ids_by_key[key]
+        del members_by_key[key]
