--- a/src/bulrushflow/membership/__init__.py
+++ b/src/bulrushflow/membership/__init__.py
@@ -1,4 +1,4 @@
-"""The table of nodes and their targets, free of I/O."""
+"""SWIM-style membership without I/O: member table, failure detection and update queue."""
 
 from bulrushflow.membership.detection import LocalHealth
 from bulrushflow.membership.detection import ProbeOrder
--- a/src/bulrushflow/membership/detection.py
+++ b/src/bulrushflow/membership/detection.py
@@ -1,4 +1,4 @@
-"""Decisions of the failure detector: whom to probe, how long to wait, how much to trust oneself."""
+"""Policy of the failure detector: probe order, suspicion timeout and local health score."""
 
 import math
 import random
@@ -7,24 +7,28 @@
 from bulrushflow.membership.table import MemberTable
 
 REMOTE_PROBE_INTERVAL = 4
-"""One probe in so many goes to another data centre."""
+"""Every n-th probe goes to another data centre."""
 REMOTE_DRAWS = 8
+"""Random draws to find a member in another data centre."""
 MAX_HEALTH_SCORE = 4
 
 
 def suspicion_timeout_s(base_s: float, members: int) -> float:
-    """Return how long a member stays suspected among ``members`` nodes, in seconds.
+    """Return how long a member stays suspected before it is declared dead, in seconds.
 
-    News takes time logarithmic in the number of nodes to reach the suspected one and come back.
+    The suspicion and its refutation take time logarithmic in the number of nodes to disseminate.
+
+    :param base_s: shortest timeout, in seconds.
+    :param members: number of live nodes.
     """
     return base_s * max(1.0, math.log10(max(1, members)))
 
 
 class LocalHealth:
-    """How far this node doubts its own observations.
+    """The local health score of Lifeguard: how unreliable this node's own observations are.
 
-    A node that hears of nobody while it probes, or that stood still, is likelier to be at fault
-    than the many that it would accuse, so it waits longer for acks.
+    A node that receives nothing while it probes, or whose process was paused, is more likely to
+    be at fault than the many members that it would suspect, so it waits longer for acks.
     """
 
     __slots__ = ("_score",)
@@ -34,24 +38,24 @@
 
     @property
     def multiplier(self) -> int:
-        """Factor for timeouts, from 1 to 1 + :data:`MAX_HEALTH_SCORE`."""
+        """Factor for probe timeouts, from 1 to 1 + :data:`MAX_HEALTH_SCORE`."""
         return 1 + self._score
 
     def record_ack(self) -> None:
-        """Note a probe that was acknowledged in time."""
+        """Lower the score after a probe that was acknowledged in time."""
         self._score = max(0, self._score - 1)
 
     def record_silence(self) -> None:
-        """Note a probe in whose time nobody was heard."""
+        """Raise the score after a probe during which no node was heard from."""
         self._score = min(MAX_HEALTH_SCORE, self._score + 1)
 
     def record_pause(self) -> None:
-        """Note that this process stood still."""
+        """Set the score to its maximum after a pause of this process."""
         self._score = MAX_HEALTH_SCORE
 
 
 class ProbeOrder:
-    """Goes round the own data centre in random order, with some probes to other ones."""
+    """Cycles through the local data centre in random order, with some probes to other ones."""
 
     __slots__ = ("_pending", "_rng", "_turn")
 
--- a/src/bulrushflow/membership/digests.py
+++ b/src/bulrushflow/membership/digests.py
@@ -1,4 +1,4 @@
-"""Digests by which two tables find where they differ without exchanging their members."""
+"""Bucket digests, by which two tables find where they differ without exchanging members."""
 
 import struct
 
@@ -7,20 +7,20 @@
 from bulrushflow.membership.members import Member
 
 BUCKETS = 256
-"""Four bytes for each bucket fit one datagram; 4,800 members make 19 a bucket."""
+"""At four bytes a bucket, all digests fit one datagram; 4,800 members make 19 a bucket."""
 
 _WORDS = struct.Struct(f">{BUCKETS}I")
 
 
 def bucket_of(node_id: str) -> int:
-    """Return the number of the bucket that holds a member."""
+    """Return the number of the bucket that a member belongs to."""
     return xxhash.xxh32_intdigest(node_id.encode()) % BUCKETS
 
 
 class BucketDigests:
-    """One 32-bit digest for each bucket, kept up to date as members come and go.
+    """One 32-bit digest for each bucket, updated incrementally as members change.
 
-    Only the id and incarnation of live members count, since suspicion comes and goes quickly.
+    Digests cover only the id and incarnation of live members, since suspicion changes often.
     """
 
     __slots__ = ("_ids_by_bucket", "_overall", "_words")
@@ -31,7 +31,7 @@
         self._overall: int | None = None
 
     def replace(self, old: Member | None, new: Member | None) -> None:
-        """Take one member's entry out and put its new one in."""
+        """Replace a member's old entry by its new one; ``None`` stands for no entry."""
         for member in (old, new):
             if member is None:
                 continue
@@ -45,7 +45,7 @@
         self._overall = None
 
     def ids(self, bucket: int) -> set[str]:
-        """Return the ids of the members in a bucket, those no longer live included."""
+        """Return the ids of the members in a bucket, including dead and left ones."""
         return self._ids_by_bucket[bucket]
 
     def overall(self) -> int:
@@ -55,11 +55,11 @@
         return self._overall
 
     def packed(self) -> bytes:
-        """Return all buckets' digests as bytes."""
+        """Return the digests of all buckets as big-endian bytes."""
         return _WORDS.pack(*self._words)
 
     def differing(self, packed: bytes) -> list[int]:
-        """Return the buckets whose digests differ from another table's, none when malformed."""
+        """Return the buckets that differ from another table's digests; none if malformed."""
         if len(packed) != _WORDS.size:
             return []
         theirs = _WORDS.unpack(packed)
--- a/src/bulrushflow/membership/members.py
+++ b/src/bulrushflow/membership/members.py
@@ -1,11 +1,11 @@
-"""Members, their targets, and the order by which claims about a member win."""
+"""Members, their targets, and the precedence between updates about a member."""
 
 import enum
 from dataclasses import dataclass
 
 
 class Status(enum.IntEnum):
-    """What is believed of a node; at one incarnation the higher value wins."""
+    """The recorded state of a node; at the same incarnation the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -14,7 +14,7 @@
 
 
 class TargetState(enum.IntEnum):
-    """What a target said of itself."""
+    """The state that a target announces."""
 
     COLD = 0
     READY = 1
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Target:
-    """A node's target, as its node announces it to the others."""
+    """A node's target, as the node announces it to other nodes."""
 
     service: str
     version: str
@@ -37,7 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A node and its target. A node raises ``incarnation`` with every change of its own."""
+    """A node and its target: an entry of the table, or a membership update.
+
+    A node raises ``incarnation`` with every change of its own entry.
+    """
 
     node_id: str
     data_centre: str
@@ -49,10 +52,10 @@
 
     @property
     def precedence(self) -> Precedence:
-        """The claim with the higher precedence wins.
+        """Sort key of updates about a node; the update with the higher precedence wins.
 
-        The content comes last: two processes with one node id may claim the same incarnation,
-        and every node has to settle on the same claim whatever the order in which they arrive.
+        The content comes last: two processes with one node id may announce the same incarnation,
+        and every node has to settle on the same update, in whatever order they arrive.
         """
         target = () if self.target is None else (self.target,)
         return (
@@ -71,17 +74,17 @@
 
     @property
     def is_live(self) -> bool:
-        """Tell whether the node may be talked to: alive or only suspected."""
+        """Return whether the node is still contacted: it is alive or only suspected."""
         return self.status <= Status.SUSPECT
 
     @property
     def is_self_reported(self) -> bool:
-        """Tell whether the node itself said so: that it lives or that it left."""
+        """Return whether the status was announced by the node itself: alive or left."""
         return self.status in (Status.ALIVE, Status.LEFT)
 
     @property
     def ready_version(self) -> tuple[str, str] | None:
-        """Service and version for which the target takes new calls, ``None`` when for none."""
+        """Service and version for which the target accepts new calls, ``None`` if there is none."""
         if self.status is not Status.ALIVE or self.target is None:
             return None
         if self.target.state is not TargetState.READY:
--- a/src/bulrushflow/membership/rendezvous.py
+++ b/src/bulrushflow/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every node picks the same few members without talking."""
+"""Rendezvous hashing: all nodes select the same few members for a key without coordination."""
 
 import typing as t
 
@@ -8,12 +8,12 @@
 
 
 def rank_members(members: t.Iterable[Member], key: str) -> list[Member]:
-    """Return the members in the order in which they should serve ``key``."""
+    """Return the members by their rendezvous score for ``key``, the highest first."""
     return sorted(members, key=lambda m: _score(key, m.node_id), reverse=True)
 
 
 def is_top_ranked(members: t.Iterable[Member], key: str, node_id: str, count: int) -> bool:
-    """Tell whether ``node_id`` is among the first ``count`` members for ``key``.
+    """Return whether ``node_id`` is among the first ``count`` members for ``key``.
 
     Stops at the ``count``-th member that ranks higher, so most nodes hash only a few ids.
     """
--- a/src/bulrushflow/membership/table.py
+++ b/src/bulrushflow/membership/table.py
@@ -1,4 +1,4 @@
-"""The table of members: merging of claims, lists for quick look-up, and forgetting."""
+"""The member table: merging of updates, indexes, and removal of dead and left members."""
 
 import typing as t
 from dataclasses import replace
@@ -9,23 +9,24 @@
 from bulrushflow.membership.tombstones import Tombstones
 
 DEAD_RETENTION_S = 3600.0
-"""Dead members are asked again now and then, since a network may only have been cut."""
+"""Dead members are kept this long and probed again, since it may only have been a partition."""
 LEFT_RETENTION_S = 60.0
 MAX_DEAD = 4096
+"""Dead and left members kept; beyond it the oldest are removed early."""
 MIN_CONFLICT_REFUTE_INTERVAL_S = 5.0
-"""Shortest time between two refutations of another process with this node's id."""
+"""Shortest time between two refutations of another process that uses this node's id."""
 MAX_CONFLICT_IDS = 64
 CONFLICT_WINDOW_S = 3600.0
-"""Time after which the counts of conflicts begin anew, since instances do move now and then."""
+"""Conflict counts restart after this time, since instances do change address now and then."""
 
 Endpoint = tuple[str, int]
 K = t.TypeVar("K", bound=t.Hashable)
 
 
 class MemberTable:
-    """All known members; merging is commutative, associative and idempotent.
+    """All known members. Merging updates is commutative, associative and idempotent.
 
-    Lists that the look-ups return are shared between callers and must not be changed.
+    Lists returned by look-ups are shared between callers and must not be modified.
     """
 
     __slots__ = (
@@ -50,9 +51,9 @@
         self.by_id: dict[str, Member] = {}
         self.tombstones = Tombstones()
         self.version = 0
-        """Raised with every change of the table."""
+        """Incremented with every change of the table."""
         self.conflicts_by_id: dict[str, int] = {}
-        """How often a live member's claims moved to another endpoint."""
+        """How often an update changed the endpoint of a live member."""
         self._conflicts_since = 0.0
         self._digests = BucketDigests()
         self._changed_at: dict[str, float] = {}
@@ -70,15 +71,16 @@
         return self.by_id[self.own_id]
 
     def update_own(self, **changes: t.Any) -> Member:
-        """Change this node's entry and raise its incarnation."""
+        """Change this node's entry, raise its incarnation, and return it."""
         own = replace(self.own, incarnation=self.own.incarnation + 1, **changes)
         self._put(own)
         return own
 
     def merge(self, update: Member, now: float) -> bool:
-        """Take in a claim about a member; return whether it changed the table.
+        """Merge an update about a member; return whether it changed the table.
 
-        A update that this node itself is not alive is refuted with a higher incarnation.
+        An update that would replace this node's own entry, such as one that declares it dead, is
+        refuted with a higher incarnation.
         """
         if update.node_id == self.own_id:
             return self._refute(update, now)
@@ -94,7 +96,10 @@
         return True
 
     def raise_status(self, node_id: str, status: Status, now: float) -> Member | None:
-        """Raise a member's status at its present incarnation; ``None`` when nothing changed."""
+        """Raise a member's status at its current incarnation.
+
+        :return: the new entry, ``None`` when nothing changed.
+        """
         current = self.by_id.get(node_id)
         if current is None or current.status >= status:
             return None
@@ -102,18 +107,18 @@
         return update if self.merge(update, now) else None
 
     def changed_at(self, node_id: str) -> float:
-        """Return when the member's entry last changed, in seconds of the clock given."""
+        """Return the ``now`` of the last change of a member's entry, in seconds; 0 if unknown."""
         return self._changed_at.get(node_id, 0.0)
 
     def restart_suspicion_timeouts(self, now: float) -> None:
-        """Give every suspected member its whole time again."""
+        """Start the suspicion timeout of every suspected member anew."""
         for member in self.suspects():
             self._changed_at[member.node_id] = now
 
     def reap(self, now: float) -> None:
-        """Replace members that are dead or gone for long by tombstones, the oldest first.
+        """Replace members that have been dead or left for long by tombstones, the oldest first.
 
-        To be called every few seconds.
+        Must be called every few seconds.
         """
         removable = [m for m in self.by_id.values() if not m.is_live and m.node_id != self.own_id]
         removable.sort(key=lambda m: self.changed_at(m.node_id))
@@ -129,13 +134,13 @@
             self.conflicts_by_id.clear()
 
     def remove(self, node_id: str) -> None:
-        """Drop a member."""
+        """Remove a member without a tombstone."""
         old = self.by_id.pop(node_id, None)
         self._changed_at.pop(node_id, None)
         self._reindex(old, None)
 
     def live_members(self) -> list[Member]:
-        """Return the members that may be talked to: alive or only suspected."""
+        """Return the live members: those alive or only suspected, this node included."""
         own = [self.own] if self.own.is_live else []
         return self._cached("alive", "", lambda: [*own, *self.live_peers()])
 
@@ -145,20 +150,20 @@
         return self._cached("others", "", lambda: [*alive.values(), *suspects.values()])
 
     def in_data_centre(self, data_centre: str) -> list[Member]:
-        """Return :meth:`live_members` in one data centre."""
+        """Return the :meth:`live_members` of one data centre."""
         members = self._live_by_data_centre.get(data_centre, {})
         return self._cached("data_centre", data_centre, lambda: list(members.values()))
 
     def suspects(self) -> list[Member]:
-        """Return the members under suspicion."""
+        """Return the suspected members."""
         return self._cached("suspects", "", lambda: list(self._others(Status.SUSPECT).values()))
 
     def dead(self) -> list[Member]:
-        """Return the members that are held dead and still remembered."""
+        """Return the members that are recorded as dead."""
         return self._cached("dead", "", lambda: list(self._others(Status.DEAD).values()))
 
     def ready_targets(self, service: str, version: str) -> list[Member]:
-        """Return the members whose targets take new calls for a service version."""
+        """Return the members whose targets accept new calls for a service version."""
         key = (service, version)
         cached = self._ready_lists_by_version.get(key)
         if cached is None:
@@ -167,9 +172,10 @@
         return cached
 
     def in_buckets(self, buckets: t.Iterable[int]) -> list[Member]:
-        """Return the live and left members of some buckets of the digests.
+        """Return the members in some buckets of the digests, without the dead ones.
 
-        That a member is dead is hearsay, and after a partition both sides hold it of the other.
+        That a member is dead is second-hand, and after a partition each side records it of the
+        other.
         """
         members: list[Member] = []
         for bucket in buckets:
@@ -189,9 +195,11 @@
         return self._digests.differing(packed)
 
     def update_to_refute(self, node_id: str, incarnation: int, endpoint: Endpoint) -> Member | None:
-        """Return what a node at ``incarnation`` has to refute to be taken for alive.
+        """Return the entry that a node at ``incarnation`` must refute to be considered alive.
+
+        It may be sent to that node only, since a tombstone no longer has the whole entry.
 
-        The answer is meant for that node alone, since a tombstone no longer holds the whole entry.
+        :return: ``None`` when there is nothing to refute.
         """
         current = self.by_id.get(node_id)
         if current is None:
@@ -209,7 +217,7 @@
         if self.tombstones.covering(update.node_id, update.incarnation) is not None:
             return False
         if not update.is_live:
-            # Nothing to forget but the claim, which must hold against older ones.
+            # There is no entry to remove, but the tombstone rejects older updates.
             self.tombstones.add(update.node_id, update.incarnation, now)
             return False
         self.tombstones.discard(update.node_id)
@@ -276,7 +284,7 @@
 
 
 def _remove(members_by_key: dict[K, dict[str, Member]], key: K, node_id: str) -> None:
-    """Take an id out of one key's members, and the key with the last of them."""
+    """Remove a member from a key's members, and the key when none is left."""
     members_by_id = members_by_key[key]
     del members_by_id[node_id]
     if not members_by_id:
--- a/src/bulrushflow/membership/tombstones.py
+++ b/src/bulrushflow/membership/tombstones.py
@@ -1,11 +1,11 @@
-"""Memory of forgotten members, so that late claims cannot bring them back."""
+"""Tombstones of removed members, so that late updates cannot bring them back."""
 
 TOMBSTONE_TTL_S = 2 * 3600.0
 MAX_TOMBSTONES = 8192
 
 
 class Tombstones:
-    """The last incarnation of each forgotten member, bounded in number and time."""
+    """The last incarnation of each removed member, bounded in number and age."""
 
     __slots__ = ("_by_id",)
 
@@ -16,7 +16,7 @@
         return len(self._by_id)
 
     def add(self, node_id: str, incarnation: int, now: float) -> None:
-        """Remember a forgotten member; the oldest one makes room when there are too many."""
+        """Add a removed member; the oldest beyond :data:`MAX_TOMBSTONES` is dropped."""
         current = self._by_id.pop(node_id, None)
         if current is not None:
             incarnation = max(incarnation, current[0])
@@ -25,12 +25,12 @@
             del self._by_id[next(iter(self._by_id))]
 
     def covering(self, node_id: str, incarnation: int) -> int | None:
-        """Return the forgotten incarnation when a claim at ``incarnation`` is no newer."""
+        """Return the incarnation of a tombstone that rejects an update at ``incarnation``."""
         current = self._by_id.get(node_id)
         return current[0] if current is not None and incarnation <= current[0] else None
 
     def discard(self, node_id: str) -> None:
-        """Drop the tombstone of a member that came back."""
+        """Drop the tombstone of a member that rejoined."""
         self._by_id.pop(node_id, None)
 
     def expire(self, now: float) -> None:
--- a/src/bulrushflow/membership/update_queue.py
+++ b/src/bulrushflow/membership/update_queue.py
@@ -1,4 +1,4 @@
-"""The queue of news to pass on: each item a bounded number of times, the urgent first."""
+"""Queue of updates to disseminate: each is sent a bounded number of times, urgent ones first."""
 
 import enum
 import math
@@ -11,23 +11,23 @@
 
 
 class UpdatePriority(enum.IntEnum):
-    """Which news goes first when a datagram has no room for all."""
+    """Order in which updates are sent when a datagram has no room for all."""
 
     URGENT = 0
     """A target that must get no new calls."""
     ALIVE = 1
     SUSPECT = 2
-    """Takes a target out of routing, which that it is dead no longer does."""
+    """Takes the target out of routing, so it goes before ``DEAD``, which adds nothing to that."""
     DEAD = 3
 
 
 def transmission_limit(members: int) -> int:
-    """Return how often one node passes an item on among ``members`` nodes."""
+    """Return how often a node sends one update when there are ``members`` live nodes."""
     return max(MIN_TRANSMISSIONS, TRANSMISSION_FACTOR * math.ceil(math.log2(members + 1)))
 
 
 class UpdateQueue(t.Generic[K]):
-    """Items by key; those that were passed on least often go first within a priority."""
+    """Updates by key; within a priority, those sent least often go first."""
 
     __slots__ = ("_keys_by_rank", "_rank_by_key")
 
@@ -39,12 +39,12 @@
         return len(self._rank_by_key)
 
     def add(self, key: K, priority: int) -> None:
-        """Queue an item, or start it anew when it changed."""
+        """Queue an update; if it is queued already, its transmissions are counted anew."""
         self.discard(key)
         self._put(key, (priority, 0))
 
     def discard(self, key: K) -> None:
-        """Drop an item."""
+        """Remove an update, if it is queued."""
         rank = self._rank_by_key.pop(key, None)
         if rank is None:
             return
@@ -54,15 +54,15 @@
             del self._keys_by_rank[rank]
 
     def discard_from(self, priority_from: int) -> None:
-        """Drop all items whose priority comes at or after ``priority_from``."""
+        """Remove all updates whose priority comes at or after ``priority_from``."""
         for key, (priority, _) in list(self._rank_by_key.items()):
             if priority >= priority_from:
                 self.discard(key)
 
     def count_as_sent(self, max_transmissions: int, priority_to: int) -> None:
-        """Count the items up to a priority as passed on once more.
+        """Count one more transmission of every update up to a priority, without sending them.
 
-        For a receiver that is known to hold them already.
+        For a receiver that is known to have them already.
         """
         for rank in sorted(self._keys_by_rank, reverse=True):
             priority, count = rank
@@ -80,11 +80,11 @@
         max_transmissions: int,
         only_priority: int | None = None,
     ) -> list[K]:
-        """Return the items for one datagram and count them as passed on once more.
+        """Return the updates for one datagram and count their transmission.
 
-        :param size: bytes that an item takes, 0 when it is no longer known.
-        :param max_transmissions: how often an item is passed on before it is dropped.
-        :param only_priority: the one priority to take, all when ``None``.
+        :param size: encoded bytes of an update, 0 when its key is no longer known.
+        :param max_transmissions: transmissions after which an update is dropped.
+        :param only_priority: the one priority to select from, all when ``None``.
         """
         batch = []
         for key in self._select(budget_bytes, size, only_priority):
