--- a/tests/membership/test_table.py
+++ b/tests/membership/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of the member table: merging, look-ups, forgetting."""
+"""Tests of the member table: merging, look-ups and removal."""
 
 import itertools
 import unittest
@@ -34,7 +34,7 @@
     st.sampled_from(TargetState),
     st.integers(1, 2),
 )
-claims = st.builds(
+updates = st.builds(
     Member,
     st.sampled_from(["a", "b", "c"]),
     st.sampled_from(["celje-a", "velenje"]),
@@ -44,7 +44,7 @@
     st.sampled_from(Status),
     targets,
 )
-own_claims = st.builds(
+own_updates = st.builds(
     Member,
     st.just("own"),
     st.just("celje-a"),
@@ -58,86 +58,86 @@
 
 def merged(sequence: list[Member]) -> MemberTable:
     table = MemberTable(OWN)
-    for claim in sequence:
-        table.merge(claim, 0.0)
+    for update in sequence:
+        table.merge(update, 0.0)
     return table
 
 
 def view(table: MemberTable) -> tuple[dict[str, Member], dict[str, int]]:
-    """Live entries, and the highest incarnation of every other member heard of."""
+    """Return live entries, and the highest incarnation of every other known member."""
     live = {m.node_id: m for m in table.by_id.values() if m.is_live}
     gone = {m.node_id: m.incarnation for m in table.by_id.values() if not m.is_live}
     for node_id in ("a", "b", "c"):
-        forgotten = table.tombstones.covering(node_id, 0)
-        if forgotten is not None:
-            gone[node_id] = forgotten
+        removed = table.tombstones.covering(node_id, 0)
+        if removed is not None:
+            gone[node_id] = removed
     return live, gone
 
 
 class MergeTests(unittest.TestCase):
     @settings(max_examples=150)
-    @given(st.lists(claims, max_size=5))
-    def test_order_and_repeats_do_not_matter(self, sequence: list[Member]) -> None:
+    @given(st.lists(updates, max_size=5))
+    def test_order_and_duplicates_do_not_matter(self, sequence: list[Member]) -> None:
         expected = view(merged(sequence))
         for order in itertools.islice(itertools.permutations(sequence), 24):
             self.assertEqual(view(merged(list(order))), expected)
         self.assertEqual(view(merged(sequence + sequence)), expected)
 
     @settings(max_examples=60)
-    @given(st.lists(claims, max_size=6), st.lists(claims, max_size=6))
-    def test_a_merge_tells_whether_it_changed_an_entry(
+    @given(st.lists(updates, max_size=6), st.lists(updates, max_size=6))
+    def test_merge_returns_whether_it_changed_an_entry(
         self, first: list[Member], second: list[Member]
     ) -> None:
         table = merged(first)
-        for claim in second:
+        for update in second:
             before = dict(table.by_id)
-            changed = table.merge(claim, 0.0)
+            changed = table.merge(update, 0.0)
             self.assertEqual(changed, table.by_id != before)
-            self.assertFalse(table.merge(claim, 0.0))
+            self.assertFalse(table.merge(update, 0.0))
 
     @settings(max_examples=60)
-    @given(st.lists(own_claims, max_size=6))
+    @given(st.lists(own_updates, max_size=6))
     def test_the_own_entry_stays_alive_at_the_highest_incarnation(
         self, sequence: list[Member]
     ) -> None:
         table = MemberTable(OWN)
-        for claim in sequence:
-            table.merge(claim, 0.0)
+        for update in sequence:
+            table.merge(update, 0.0)
             self.assertIs(table.own.status, Status.ALIVE)
-            self.assertGreaterEqual(table.own.precedence, claim.precedence)
+            self.assertGreaterEqual(table.own.precedence, update.precedence)
 
-    def test_a_restart_with_an_earlier_clock_wins_in_the_end(self) -> None:
-        cases = {"alive": Status.ALIVE, "dead": Status.DEAD, "forgotten": Status.LEFT}
+    def test_a_restart_with_an_earlier_clock_refutes_its_old_entry(self) -> None:
+        cases = {"alive": Status.ALIVE, "dead": Status.DEAD, "removed": Status.LEFT}
         for name, status in cases.items():
             with self.subTest(name):
                 peers = MemberTable(OWN)
                 peers.merge(replace(PEER, incarnation=900), 0.0)
                 if status is not Status.ALIVE:
                     peers.raise_status("a", status, 0.0)
-                if name == "forgotten":
+                if name == "removed":
                     peers.reap(DEAD_RETENTION_S)
                 restarted = MemberTable(replace(PEER, incarnation=100, peer_port=9))
                 own = restarted.own
                 self.assertFalse(peers.merge(own, 1.0))
-                told = peers.update_to_refute("a", own.incarnation, own.endpoint)
-                assert told is not None
-                self.assertTrue(restarted.merge(told, 1.0))
+                to_refute = peers.update_to_refute("a", own.incarnation, own.endpoint)
+                assert to_refute is not None
+                self.assertTrue(restarted.merge(to_refute, 1.0))
                 self.assertTrue(peers.merge(restarted.own, 1.0))
                 self.assertEqual(peers.by_id["a"].peer_port, 9)
                 self.assertIsNone(
                     peers.update_to_refute("a", restarted.own.incarnation, restarted.own.endpoint)
                 )
 
-    def test_two_processes_with_one_id_are_counted_and_refute_seldom(self) -> None:
+    def test_conflicts_over_one_node_id_are_counted_and_refutations_rate_limited(self) -> None:
         table = MemberTable(OWN)
         for i in range(10):
-            claim = replace(OWN, peer_port=9, incarnation=table.own.incarnation + 5)
-            table.merge(claim, i * MIN_CONFLICT_REFUTE_INTERVAL_S / 5)
+            update = replace(OWN, peer_port=9, incarnation=table.own.incarnation + 5)
+            table.merge(update, i * MIN_CONFLICT_REFUTE_INTERVAL_S / 5)
         self.assertEqual(table.conflicts_by_id["own"], 10)
         self.assertLessEqual(table.own.incarnation, 1 + 2 * 6)
         self.assertEqual(table.own.peer_port, 1)
 
-    def test_a_live_member_that_moves_between_endpoints_is_counted(self) -> None:
+    def test_endpoint_changes_of_a_live_member_are_counted(self) -> None:
         table = MemberTable(OWN)
         for i in range(4):
             table.merge(replace(PEER, incarnation=i + 1, peer_port=2 + i % 2), 0.0)
@@ -147,7 +147,7 @@
 
 
 class ReapTests(unittest.TestCase):
-    def test_a_forgotten_member_is_not_brought_back_by_late_claims(self) -> None:
+    def test_late_updates_do_not_bring_back_a_removed_member(self) -> None:
         table = merged([PEER, replace(PEER, status=Status.DEAD)])
         table.reap(DEAD_RETENTION_S - 1)
         self.assertIn("a", table.by_id)
@@ -157,7 +157,7 @@
             self.assertFalse(table.merge(replace(PEER, status=status), DEAD_RETENTION_S))
         self.assertTrue(table.merge(replace(PEER, incarnation=6), DEAD_RETENTION_S))
 
-    def test_a_dead_member_never_met_is_not_taken_in(self) -> None:
+    def test_a_dead_member_that_is_unknown_is_not_added(self) -> None:
         table = merged([replace(PEER, status=Status.DEAD)])
         self.assertNotIn("a", table.by_id)
         self.assertFalse(table.merge(PEER, 0.0))
@@ -182,7 +182,7 @@
 
 
 def assert_same(found: list[Member], scanned: list[Member]) -> None:
-    """The same members, each once, in any order."""
+    """Assert that both lists have the same members, each once, in any order."""
     assert sorted(found, key=lambda m: m.node_id) == sorted(scanned, key=lambda m: m.node_id)
 
 
@@ -195,16 +195,16 @@
         self.now = 0.0
         self.highest_gone: dict[str, int] = {}
 
-    @rule(claim=claims)
-    def merge(self, claim: Member) -> None:
-        self.table.merge(claim, self.now)
+    @rule(update=updates)
+    def merge(self, update: Member) -> None:
+        self.table.merge(update, self.now)
         gone = self.highest_gone
-        if not claim.is_live:
-            gone[claim.node_id] = max(gone.get(claim.node_id, 0), claim.incarnation)
+        if not update.is_live:
+            gone[update.node_id] = max(gone.get(update.node_id, 0), update.incarnation)
 
-    @rule(claim=own_claims)
-    def merge_own(self, claim: Member) -> None:
-        self.table.merge(claim, self.now)
+    @rule(update=own_updates)
+    def merge_own(self, update: Member) -> None:
+        self.table.merge(update, self.now)
 
     @rule(announced=targets)
     def announce(self, announced: Target | None) -> None:
--- a/tests/membership/test_update_queue.py
+++ b/tests/membership/test_update_queue.py
@@ -1,4 +1,4 @@
-"""Tests of the queue of news."""
+"""Tests of the queue of membership updates."""
 
 import unittest
 
@@ -11,26 +11,26 @@
 from bulrushflow.membership import transmission_limit
 
 
-class NewsQueueTests(unittest.TestCase):
-    def test_urgent_news_goes_first_and_each_item_a_bounded_number_of_times(self) -> None:
+class UpdateQueueTests(unittest.TestCase):
+    def test_urgent_updates_go_first_and_each_is_sent_a_bounded_number_of_times(self) -> None:
         queue: UpdateQueue[str] = UpdateQueue()
         queue.add("suspect", UpdatePriority.SUSPECT)
         queue.add("joined", UpdatePriority.ALIVE)
         queue.add("leaving", UpdatePriority.URGENT)
         first = queue.next_batch(20, lambda _: 10, 2)
         self.assertEqual(first, ["leaving", "joined"])
-        told = first
+        sent = first
         while queue:
-            told = told + queue.next_batch(20, lambda _: 10, 2)
-        self.assertEqual(sorted(told), sorted(["leaving", "joined", "suspect"] * 2))
+            sent = sent + queue.next_batch(20, lambda _: 10, 2)
+        self.assertEqual(sorted(sent), sorted(["leaving", "joined", "suspect"] * 2))
 
-    def test_items_no_longer_known_are_dropped_untold(self) -> None:
+    def test_unknown_keys_are_dropped_without_being_sent(self) -> None:
         queue: UpdateQueue[str] = UpdateQueue()
         queue.add("gone", UpdatePriority.ALIVE)
         self.assertEqual(queue.next_batch(100, lambda _: 0, 9), [])
         self.assertEqual(len(queue), 0)
 
-    def test_doubts_can_be_dropped_alone(self) -> None:
+    def test_suspect_and_dead_updates_can_be_discarded_alone(self) -> None:
         queue: UpdateQueue[str] = UpdateQueue()
         for priority in UpdatePriority:
             queue.add(priority.name, priority)
@@ -42,7 +42,7 @@
         st.dictionaries(st.integers(0, 50), st.integers(1, 300), max_size=30),
         st.integers(300, 1200),
     )
-    def test_what_is_taken_fits_and_all_is_told_in_the_end(
+    def test_batches_fit_the_budget_and_everything_is_sent_eventually(
         self, sizes: dict[int, int], budget: int
     ) -> None:
         queue: UpdateQueue[int] = UpdateQueue()
@@ -50,11 +50,11 @@
             queue.add(key, key % 4)
         counts = dict.fromkeys(sizes, 0)
         while queue:
-            taken = queue.next_batch(budget, sizes.__getitem__, 3)
-            self.assertLessEqual(sum(sizes[k] for k in taken), budget)
-            for key in taken:
+            batch = queue.next_batch(budget, sizes.__getitem__, 3)
+            self.assertLessEqual(sum(sizes[k] for k in batch), budget)
+            for key in batch:
                 counts[key] += 1
         self.assertEqual(set(counts.values()) - {3}, set())
 
-    def test_transmissions_grow_with_the_logarithm(self) -> None:
+    def test_transmission_limit_grows_with_the_logarithm(self) -> None:
         self.assertEqual([transmission_limit(n) for n in (1, 10, 100, 4800)], [6, 8, 14, 26])
