--- a/tests/configuration/strategies.py
+++ b/tests/configuration/strategies.py
@@ -80,7 +80,7 @@
 
 
 def log_records(bodies: list[bytes]) -> list[LogRecord]:
-    """Return the bodies as the log would hold them, from offset 0 on."""
+    """Return the bodies as records on the log, from offset 0 on."""
     return [LogRecord(offset, 1000 + offset, body) for offset, body in enumerate(bodies)]
 
 
--- a/tests/configuration/test_fold.py
+++ b/tests/configuration/test_fold.py
@@ -62,15 +62,15 @@
                 self.assertFalse(verdict.accepted)
                 self.assertIn(reason, verdict.reason)
 
-    def test_a_repeated_publish_takes_effect_once(self) -> None:
+    def test_a_duplicate_publish_id_takes_effect_once(self) -> None:
         other = Configure(1, "p1", "ana", services={"plots": ServiceBody("v9")})
         self.assertEqual(fold_all(PLOTS, other).services_by_name["plots"].version, "v1")
 
-    def test_a_gap_is_a_broken_invariant(self) -> None:
+    def test_a_gap_raises_an_invariant_error(self) -> None:
         with self.assertRaises(InvariantError):
             fold(EMPTY_CONFIGURATION, LogRecord(1, 0, encode_record(PLOTS)))
 
-    def test_the_first_final_record_of_a_move_stands(self) -> None:
+    def test_the_first_final_record_of_a_rollout_stands(self) -> None:
         start = StartRollout(1, "m", "ana", "plots", "v2", 99999)
         done = FinishRollout(1, "m/done", "m", False, "healthy", "", "n1")
         withdraw = WithdrawRollout(1, "w", "ana", "m")
@@ -82,21 +82,21 @@
         self.assertEqual(withdrawn.moves_by_id["m"].status, RolloutStatus.WITHDRAWN)
         self.assertEqual(withdrawn.services_by_name["plots"].version, "v1")
 
-    def test_the_loser_of_a_race_is_told_who_came_first(self) -> None:
+    def test_a_conflicting_record_is_rejected_with_the_first_publisher(self) -> None:
         first = Configure(1, "a", "ana", services={"plots": ServiceBody("v2")})
         base = {"service/plots": 0}
         second = Configure(1, "b", "bojan", services={"plots": ServiceBody("v3")}, base=base)
-        move = StartRollout(1, "m", "ana", "plots", "v4", 99999)
+        rollout = StartRollout(1, "m", "ana", "plots", "v4", 99999)
         cases: dict[str, list[Record | bytes]] = {
             "offset 1 by ana came first": [PLOTS, first, second],
             "'m', stated at offset 1 by ana": [
                 PLOTS,
-                move,
+                rollout,
                 StartRollout(1, "b", "bojan", "plots", "v5", 99999),
             ],
             "withdrawn already, at offset 2 by ana": [
                 PLOTS,
-                move,
+                rollout,
                 WithdrawRollout(1, "w", "ana", "m"),
                 WithdrawRollout(1, "b", "bojan", "m"),
             ],
@@ -107,21 +107,21 @@
                 self.assertFalse(verdict.accepted)
                 self.assertIn(reason, verdict.reason)
 
-    def test_another_record_under_a_used_id_shows_in_the_digest(self) -> None:
-        held = fold_all(PLOTS).verdicts_by_publish_id["p1"].record_digest
-        self.assertEqual(record_digest(msgspec.structs.replace(PLOTS, made_at=0)), held)
-        self.assertNotEqual(record_digest(Configure(1, "p1", "bojan")), held)
+    def test_the_digest_distinguishes_records_with_the_same_publish_id(self) -> None:
+        recorded = fold_all(PLOTS).verdicts_by_publish_id["p1"].record_digest
+        self.assertEqual(record_digest(msgspec.structs.replace(PLOTS, made_at=0)), recorded)
+        self.assertNotEqual(record_digest(Configure(1, "p1", "bojan")), recorded)
 
 
-class WindowTests(unittest.TestCase):
-    def test_a_repeat_from_beyond_the_window_is_rejected_not_run_again(self) -> None:
+class VerdictWindowTests(unittest.TestCase):
+    def test_a_duplicate_from_beyond_the_window_is_rejected(self) -> None:
         with mock.patch("bulrushflow.configuration.fold.MAX_VERDICTS", 3):
-            move = StartRollout(1, "m", "ana", "plots", "v2", 99999, made_at=0)
+            rollout = StartRollout(1, "m", "ana", "plots", "v2", 99999, made_at=0)
             ended = WithdrawRollout(1, "w", "ana", "m")
-            for others, reason in {1: "", 4: "an earlier copy may have taken effect"}.items():
-                with self.subTest(others=others):
-                    noise = [Configure(1, f"n{i}", "ana") for i in range(others)]
-                    state = fold_all(PLOTS, move, ended, *noise, move)
+            for count, reason in {1: "", 4: "an earlier copy may have taken effect"}.items():
+                with self.subTest(count=count):
+                    other_records = [Configure(1, f"n{i}", "ana") for i in range(count)]
+                    state = fold_all(PLOTS, rollout, ended, *other_records, rollout)
                     self.assertEqual(state.active_rollouts(), [])
                     self.assertIn(reason, state.verdicts_by_publish_id["m"].reason)
 
@@ -132,9 +132,11 @@
                 verdict = fold_all(record).verdicts_by_publish_id["p1"]
                 self.assertIn("not before", verdict.reason)
 
-    def test_a_finished_move_is_not_stated_again_when_its_verdict_is_gone(self) -> None:
+    def test_a_finished_rollout_is_not_started_again_when_its_verdict_was_dropped(self) -> None:
         with mock.patch("bulrushflow.configuration.fold.MAX_VERDICTS", 2):
-            move = StartRollout(1, "m", "ana", "plots", "v2", 99999)
-            noise = [Configure(1, f"n{i}", "ana") for i in range(3)]
-            state = fold_all(PLOTS, move, WithdrawRollout(1, "w", "ana", "m"), *noise, move)
+            rollout = StartRollout(1, "m", "ana", "plots", "v2", 99999)
+            other_records = [Configure(1, f"n{i}", "ana") for i in range(3)]
+            state = fold_all(
+                PLOTS, rollout, WithdrawRollout(1, "w", "ana", "m"), *other_records, rollout
+            )
             self.assertEqual(state.moves_by_id["m"].status, RolloutStatus.WITHDRAWN)
--- a/tests/configuration/test_fold_properties.py
+++ b/tests/configuration/test_fold_properties.py
@@ -1,4 +1,4 @@
-"""Properties that the fold keeps for every log."""
+"""Properties of the fold that must hold for every log."""
 
 import unittest
 from unittest import mock
@@ -21,7 +21,9 @@
 class FoldProperties(unittest.TestCase):
     @settings(max_examples=60)
     @given(LOGS, st.sets(st.integers(0, 30)))
-    def test_page_cuts_do_not_change_the_digest(self, log: list[LogRecord], cuts: set[int]) -> None:
+    def test_the_digest_does_not_depend_on_page_boundaries(
+        self, log: list[LogRecord], cuts: set[int]
+    ) -> None:
         whole = fold_records(EMPTY_CONFIGURATION, log).configuration
         state = EMPTY_CONFIGURATION
         start = 0
@@ -34,7 +36,9 @@
 
     @settings(max_examples=60)
     @given(LOGS)
-    def test_every_version_is_whole_and_the_next_one(self, log: list[LogRecord]) -> None:
+    def test_every_version_is_consistent_and_follows_the_previous_one(
+        self, log: list[LogRecord]
+    ) -> None:
         state = EMPTY_CONFIGURATION
         for record in log:
             before = encode_configuration(state)
@@ -45,13 +49,13 @@
                 break
             for route in after.routes_by_path.values():
                 self.assertIn(route.service, after.services_by_name)
-            active = [move.service for move in after.active_rollouts()]
+            active = [rollout.service for rollout in after.active_rollouts()]
             self.assertEqual(len(active), len(set(active)))
             state = after
 
     @settings(max_examples=60)
     @given(LOGS)
-    def test_a_rejected_or_repeated_record_changes_only_offset_and_verdicts(
+    def test_a_rejected_or_duplicate_record_changes_only_offset_and_verdicts(
         self, log: list[LogRecord]
     ) -> None:
         state = EMPTY_CONFIGURATION
@@ -71,7 +75,9 @@
 
     @settings(max_examples=60)
     @given(LOGS, st.integers(0, 29))
-    def test_a_decoded_state_goes_on_as_the_original(self, log: list[LogRecord], cut: int) -> None:
+    def test_a_decoded_state_folds_further_like_the_original(
+        self, log: list[LogRecord], cut: int
+    ) -> None:
         with mock.patch("bulrushflow.configuration.fold.MAX_VERDICTS", 5):
             whole = fold_records(EMPTY_CONFIGURATION, log).configuration
             at_cut = fold_records(EMPTY_CONFIGURATION, log[:cut]).configuration
@@ -81,7 +87,9 @@
 
     @settings(max_examples=80)
     @given(LOGS)
-    def test_an_older_release_agrees_up_to_where_it_stops(self, log: list[LogRecord]) -> None:
+    def test_an_older_release_agrees_up_to_the_record_where_it_stops(
+        self, log: list[LogRecord]
+    ) -> None:
         older = fold_records(EMPTY_CONFIGURATION, log, supported=1)
         newer = fold_records(
             EMPTY_CONFIGURATION, log[: older.configuration.offset + 1], supported=2
--- a/tests/configuration/test_schemas.py
+++ b/tests/configuration/test_schemas.py
@@ -1,4 +1,4 @@
-"""Tests of schemas side by side, and of releases that meet a schema they do not know."""
+"""Tests of several schemas on one log, and of releases that do not support all of them."""
 
 import unittest
 
@@ -39,7 +39,7 @@
 
 
 class SchemaTests(unittest.TestCase):
-    def test_both_shapes_give_one_state(self) -> None:
+    def test_records_of_both_schemas_give_one_state(self) -> None:
         state = fold_records(EMPTY_CONFIGURATION, as_log(OLD, ENABLE, NEW)).configuration
         old, new = state.routes_by_path["/plots"], state.routes_by_path["/plots/book"]
         self.assertEqual((old.timeout_ms, new.timeout_ms), (1500, 250))
@@ -54,11 +54,11 @@
                 verdict = folded.configuration.verdicts_by_publish_id["new"]
                 self.assertIn("unknown schema 2", verdict.reason)
 
-    def test_a_kind_that_a_supported_schema_lacks_is_rejected_under_its_id(self) -> None:
+    def test_an_unknown_kind_of_a_supported_schema_is_rejected_under_its_id(self) -> None:
         state = fold_records(EMPTY_CONFIGURATION, as_log(UNKNOWN_KIND)).configuration
         self.assertFalse(state.verdicts_by_publish_id["later"].accepted)
 
-    def test_levels_rise_by_one(self) -> None:
+    def test_levels_must_rise_by_one(self) -> None:
         for level, reason in {1: "already", 3: "does not follow", 99: "does not follow"}.items():
             with self.subTest(level=level):
                 records = as_log(EnableSchema(1, "x", "ana", level))
@@ -67,7 +67,7 @@
                 verdict = folded.configuration.verdicts_by_publish_id["x"]
                 self.assertIn(reason, verdict.reason)
 
-    def test_a_release_stops_in_front_of_a_level_it_does_not_support(self) -> None:
+    def test_a_release_stops_before_a_level_it_does_not_support(self) -> None:
         store = ConfigurationStore(supported=1)
         records = as_log(OLD, ENABLE, NEW)
         self.assertEqual(store.apply(records), 1)
--- a/tests/configuration/test_snapshots.py
+++ b/tests/configuration/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Tests of snapshots: equality with a full replay, corruption, and when one is due."""
+"""Tests of snapshots: equivalence to a full replay, corruption, and when one is due."""
 
 import unittest
 
@@ -30,7 +30,7 @@
 class SnapshotProperties(unittest.TestCase):
     @settings(max_examples=60)
     @given(st.lists(BODIES, max_size=20), st.integers(0, 20), st.integers(0, 3))
-    def test_a_snapshot_and_the_rest_equal_a_full_replay(
+    def test_a_snapshot_and_the_records_after_it_equal_a_full_replay(
         self, bodies: list[bytes], cut: int, lag: int
     ) -> None:
         at_cut = fold_records(EMPTY_CONFIGURATION, log_records(bodies[:cut])).configuration
@@ -47,7 +47,7 @@
         self.state = fold_records(EMPTY_CONFIGURATION, log_records([FIRST])).configuration
         self.snapshot = make_snapshot(self.state)
 
-    def test_a_corrupt_snapshot_is_neither_opened_nor_marked(self) -> None:
+    def test_a_corrupt_snapshot_is_neither_opened_nor_recorded(self) -> None:
         other = make_snapshot(EMPTY_CONFIGURATION)
         cases = {
             "digest": msgspec.structs.replace(self.snapshot, digest="0"),
@@ -66,7 +66,7 @@
                 self.assertEqual(folded.configuration.newest_snapshot.record_offset, -1)
                 self.assertEqual(folded.configuration.offset, 1)
 
-    def test_a_different_digest_of_a_held_version_is_a_broken_invariant(self) -> None:
+    def test_a_snapshot_that_differs_from_the_own_state_raises_an_invariant_error(self) -> None:
         store = ConfigurationStore()
         store.apply(log_records([FIRST]))
         different = msgspec.structs.replace(self.state, services_by_name={})
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store: forward only, whole pages, bounded holdings."""
+"""Tests of the store: versions only rise, pages and retained records are bounded."""
 
 import unittest
 from unittest import mock
@@ -19,7 +19,7 @@
 class StoreTests(unittest.TestCase):
     @settings(max_examples=60)
     @given(LOGS, CUTS)
-    def test_whatever_arrives_versions_only_rise_and_equal_the_log_s(
+    def test_versions_only_rise_and_match_the_log_whatever_arrives(
         self, log: list[LogRecord], steps: list[tuple[int, int, bool]]
     ) -> None:
         digests: dict[int, str] = {-1: digest(ConfigurationStore().current)}
@@ -39,7 +39,7 @@
             self.assertGreaterEqual(store.current.offset, before)
             self.assertEqual(digest(store.current), digests[store.current.offset])
 
-    def test_a_state_at_or_below_the_version_held_is_passed_over(self) -> None:
+    def test_a_snapshot_at_or_below_the_current_version_is_ignored(self) -> None:
         older = ConfigurationStore()
         older.apply(log_records([b"x"]))
         store = ConfigurationStore()
@@ -48,7 +48,7 @@
             self.assertFalse(store.restore_packed(packed))
         self.assertEqual(store.current.offset, 1)
 
-    def test_pages_are_bounded_and_none_hides_a_gap(self) -> None:
+    def test_pages_are_bounded_and_missing_records_give_none(self) -> None:
         store = ConfigurationStore()
         body = b"x" * 100
         with (
@@ -60,7 +60,7 @@
             offsets = {n: [r.offset for r in store.records_from(n) or []] for n in (10, 18, 20, 99)}
         self.assertEqual(offsets, {10: [10, 11, 12], 18: [18, 19], 20: [], 99: []})
 
-    def test_a_peer_s_state_that_is_not_one_is_passed_over(self) -> None:
+    def test_a_malformed_snapshot_of_a_peer_is_ignored(self) -> None:
         store = ConfigurationStore()
         for packed in (b"", b"\x00", b"x\x9c\x03\x00\x00\x00\x00\x01"):
             with self.subTest(packed):
