--- a/tests/membership/test_table.py
+++ b/tests/membership/test_table.py
@@ -230,8 +230,8 @@
         for data_centre in ("celje-a", "velenje"):
             near = [m for m in live if m.data_centre == data_centre]
             assert_same(table.in_data_centre(data_centre), near)
-        for status, held in ((Status.SUSPECT, table.suspects()), (Status.DEAD, table.dead())):
-            assert_same(held, [m for m in members if m.status is status])
+        for status, listed in ((Status.SUSPECT, table.suspects()), (Status.DEAD, table.dead())):
+            assert_same(listed, [m for m in members if m.status is status])
         for service, version in itertools.product(("statements", "payments"), ("v1", "v2")):
             ready = table.ready_targets(service, version)
             assert_same(ready, [m for m in members if m.ready_version == (service, version)])
@@ -246,10 +246,10 @@
         assert not fresh.differing_buckets(self.table.bucket_digests())
 
     @invariant()
-    def gone_incarnations_stay_gone(self) -> None:
+    def incarnations_that_ended_do_not_come_back(self) -> None:
         for node_id, incarnation in self.highest_gone.items():
-            held = self.table.by_id.get(node_id)
-            assert held is None or not held.is_live or held.incarnation > incarnation
+            current = self.table.by_id.get(node_id)
+            assert current is None or not current.is_live or current.incarnation > incarnation
 
 
 TableMachine.TestCase.settings = settings(max_examples=40, stateful_step_count=25)
