--- a/src/bulrushflow/membership/update_queue.py
+++ b/src/bulrushflow/membership/update_queue.py
@@ -1,4 +1,4 @@
-"""The queue of news to pass on: each item a bounded number of times, the urgent first."""
+"""Queue of updates to disseminate: each is sent a bounded number of times, urgent ones first."""
 
 import enum
 import math
@@ -11,23 +11,23 @@
 
 
 class UpdatePriority(enum.IntEnum):
-    """Which news goes first when a datagram has no room for all."""
+    """Order in which updates are sent when a datagram has no room for all."""
 
     URGENT = 0
     """A target that must get no new calls."""
     ALIVE = 1
     SUSPECT = 2
-    """Takes a target out of routing, which that it is dead no longer does."""
+    """Takes the target out of routing, so it goes before ``DEAD``, which adds nothing to that."""
     DEAD = 3
 
 
 def transmission_limit(members: int) -> int:
-    """Return how often one node passes an item on among ``members`` nodes."""
+    """Return how often a node sends one update when there are ``members`` live nodes."""
     return max(MIN_TRANSMISSIONS, TRANSMISSION_FACTOR * math.ceil(math.log2(members + 1)))
 
 
 class UpdateQueue(t.Generic[K]):
-    """Items by key; those that were passed on least often go first within a priority."""
+    """Updates by key; within a priority, those sent least often go first."""
 
     __slots__ = ("_keys_by_rank", "_rank_by_key")
 
@@ -39,12 +39,12 @@
         return len(self._rank_by_key)
 
     def add(self, key: K, priority: int) -> None:
-        """Queue an item, or start it anew when it changed."""
+        """Queue an update; if it is queued already, its transmissions are counted anew."""
         self.discard(key)
         self._put(key, (priority, 0))
 
     def discard(self, key: K) -> None:
-        """Drop an item."""
+        """Remove an update, if it is queued."""
         rank = self._rank_by_key.pop(key, None)
         if rank is None:
             return
@@ -53,61 +53,63 @@
         if not keys:
             del self._keys_by_rank[rank]
 
-    def discard_from(self, lowest: int) -> None:
-        """Drop all items whose priority comes at or after ``lowest``."""
+    def discard_from(self, priority_from: int) -> None:
+        """Remove all updates whose priority comes at or after ``priority_from``."""
         for key, (priority, _) in list(self._rank_by_key.items()):
-            if priority >= lowest:
+            if priority >= priority_from:
                 self.discard(key)
 
-    def count_as_sent(self, limit: int, last: int) -> None:
-        """Count the items up to a priority as passed on once more.
+    def count_as_sent(self, max_transmissions: int, priority_to: int) -> None:
+        """Count one more transmission of every update up to a priority, without sending them.
 
-        For a receiver that is known to hold them already.
+        For a receiver that is known to have them already.
         """
         for rank in sorted(self._keys_by_rank, reverse=True):
             priority, count = rank
-            if priority > last:
+            if priority > priority_to:
                 continue
             for key in list(self._keys_by_rank[rank]):
                 self.discard(key)
-                if count + 1 < limit:
+                if count + 1 < max_transmissions:
                     self._put(key, (priority, count + 1))
 
     def next_batch(
         self,
         budget_bytes: int,
         size: t.Callable[[K], int],
-        limit: int,
-        only: int | None = None,
+        max_transmissions: int,
+        only_priority: int | None = None,
     ) -> list[K]:
-        """Return the items for one datagram and count them as passed on once more.
+        """Return the updates for one datagram and count their transmission.
 
-        :param size: bytes that an item takes, 0 when it is no longer known.
-        :param limit: how often an item is passed on before it is dropped.
-        :param only: the one priority to take, all when ``None``.
+        :param size: encoded bytes of an update, 0 when its key is no longer known.
+        :param max_transmissions: transmissions after which an update is dropped.
+        :param only_priority: the one priority to select from, all when ``None``.
         """
-        taken = []
-        for key in self._first(budget_bytes, size, only):
+        batch = []
+        for key in self._select(budget_bytes, size, only_priority):
             priority, count = self._rank_by_key[key]
             self.discard(key)
             if not size(key):
                 continue
-            taken.append(key)
-            if count + 1 < limit:
+            batch.append(key)
+            if count + 1 < max_transmissions:
                 self._put(key, (priority, count + 1))
-        return taken
+        return batch
 
-    def _first(self, budget_bytes: int, size: t.Callable[[K], int], only: int | None) -> list[K]:
-        first: list[K] = []
+    def _select(
+        self, budget_bytes: int, size: t.Callable[[K], int], only_priority: int | None
+    ) -> list[K]:
+        selected: list[K] = []
         for rank in sorted(self._keys_by_rank):
-            if only is not None and rank[0] != only:
+            if only_priority is not None and rank[0] != only_priority:
                 continue
             for key in self._keys_by_rank[rank]:
                 budget_bytes -= size(key)
                 if budget_bytes < 0:
-                    return first
-                first.append(key)
-        return first
+                    return selected
+                selected.append(key)
+        return selected
 
     def _put(self, key: K, rank: tuple[int, int]) -> None:
         self._rank_by_key[key] = rank
--- a/tests/membership/test_table.py
+++ b/tests/membership/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of the member table: merging, look-ups, forgetting."""
+"""Tests of the member table: merging, look-ups and removal."""
 
 import itertools
 import unittest
@@ -16,12 +16,12 @@
 from bulrushflow.membership import Status
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
-from bulrushflow.membership.table import CONFLICT_REFUTE_S
-from bulrushflow.membership.table import CONFLICTS_S
+from bulrushflow.membership.table import CONFLICT_WINDOW_S
+from bulrushflow.membership.table import DEAD_RETENTION_S
 from bulrushflow.membership.table import MAX_DEAD
-from bulrushflow.membership.table import REMEMBER_DEAD_S
+from bulrushflow.membership.table import MIN_CONFLICT_REFUTE_INTERVAL_S
 from bulrushflow.membership.tombstones import MAX_TOMBSTONES
-from bulrushflow.membership.tombstones import TOMBSTONE_S
+from bulrushflow.membership.tombstones import TOMBSTONE_TTL_S
 from bulrushflow.membership.tombstones import Tombstones
 
 OWN = Member("own", "celje-a", "127.0.0.1", 1, 1)
@@ -34,7 +34,7 @@
     st.sampled_from(TargetState),
     st.integers(1, 2),
 )
-claims = st.builds(
+updates = st.builds(
     Member,
     st.sampled_from(["a", "b", "c"]),
     st.sampled_from(["celje-a", "velenje"]),
@@ -44,7 +44,7 @@
     st.sampled_from(Status),
     targets,
 )
-own_claims = st.builds(
+own_updates = st.builds(
     Member,
     st.just("own"),
     st.just("celje-a"),
@@ -58,106 +58,106 @@
 
 def merged(sequence: list[Member]) -> MemberTable:
     table = MemberTable(OWN)
-    for claim in sequence:
-        table.merge(claim, 0.0)
+    for update in sequence:
+        table.merge(update, 0.0)
     return table
 
 
 def view(table: MemberTable) -> tuple[dict[str, Member], dict[str, int]]:
-    """Live entries, and the highest incarnation of every other member heard of."""
+    """Return live entries, and the highest incarnation of every other known member."""
     live = {m.node_id: m for m in table.by_id.values() if m.is_live}
     gone = {m.node_id: m.incarnation for m in table.by_id.values() if not m.is_live}
     for node_id in ("a", "b", "c"):
-        forgotten = table.tombstones.covering(node_id, 0)
-        if forgotten is not None:
-            gone[node_id] = forgotten
+        removed = table.tombstones.covering(node_id, 0)
+        if removed is not None:
+            gone[node_id] = removed
     return live, gone
 
 
 class MergeTests(unittest.TestCase):
     @settings(max_examples=150)
-    @given(st.lists(claims, max_size=5))
-    def test_order_and_repeats_do_not_matter(self, sequence: list[Member]) -> None:
+    @given(st.lists(updates, max_size=5))
+    def test_order_and_duplicates_do_not_matter(self, sequence: list[Member]) -> None:
         expected = view(merged(sequence))
         for order in itertools.islice(itertools.permutations(sequence), 24):
             self.assertEqual(view(merged(list(order))), expected)
         self.assertEqual(view(merged(sequence + sequence)), expected)
 
     @settings(max_examples=60)
-    @given(st.lists(claims, max_size=6), st.lists(claims, max_size=6))
-    def test_a_merge_tells_whether_it_changed_an_entry(
+    @given(st.lists(updates, max_size=6), st.lists(updates, max_size=6))
+    def test_merge_returns_whether_it_changed_an_entry(
         self, first: list[Member], second: list[Member]
     ) -> None:
         table = merged(first)
-        for claim in second:
+        for update in second:
             before = dict(table.by_id)
-            changed = table.merge(claim, 0.0)
+            changed = table.merge(update, 0.0)
             self.assertEqual(changed, table.by_id != before)
-            self.assertFalse(table.merge(claim, 0.0))
+            self.assertFalse(table.merge(update, 0.0))
 
     @settings(max_examples=60)
-    @given(st.lists(own_claims, max_size=6))
+    @given(st.lists(own_updates, max_size=6))
     def test_the_own_entry_stays_alive_at_the_highest_incarnation(
         self, sequence: list[Member]
     ) -> None:
         table = MemberTable(OWN)
-        for claim in sequence:
-            table.merge(claim, 0.0)
+        for update in sequence:
+            table.merge(update, 0.0)
             self.assertIs(table.own.status, Status.ALIVE)
-            self.assertGreaterEqual(table.own.precedence, claim.precedence)
+            self.assertGreaterEqual(table.own.precedence, update.precedence)
 
-    def test_a_restart_with_an_earlier_clock_wins_in_the_end(self) -> None:
-        cases = {"alive": Status.ALIVE, "dead": Status.DEAD, "forgotten": Status.LEFT}
+    def test_a_restart_with_an_earlier_clock_refutes_its_old_entry(self) -> None:
+        cases = {"alive": Status.ALIVE, "dead": Status.DEAD, "removed": Status.LEFT}
         for name, status in cases.items():
             with self.subTest(name):
                 peers = MemberTable(OWN)
                 peers.merge(replace(PEER, incarnation=900), 0.0)
                 if status is not Status.ALIVE:
                     peers.raise_status("a", status, 0.0)
-                if name == "forgotten":
-                    peers.reap(REMEMBER_DEAD_S)
+                if name == "removed":
+                    peers.reap(DEAD_RETENTION_S)
                 restarted = MemberTable(replace(PEER, incarnation=100, peer_port=9))
                 own = restarted.own
                 self.assertFalse(peers.merge(own, 1.0))
-                told = peers.update_to_refute("a", own.incarnation, own.endpoint)
-                assert told is not None
-                self.assertTrue(restarted.merge(told, 1.0))
+                to_refute = peers.update_to_refute("a", own.incarnation, own.endpoint)
+                assert to_refute is not None
+                self.assertTrue(restarted.merge(to_refute, 1.0))
                 self.assertTrue(peers.merge(restarted.own, 1.0))
                 self.assertEqual(peers.by_id["a"].peer_port, 9)
                 self.assertIsNone(
                     peers.update_to_refute("a", restarted.own.incarnation, restarted.own.endpoint)
                 )
 
-    def test_two_processes_with_one_id_are_counted_and_refute_seldom(self) -> None:
+    def test_conflicts_over_one_node_id_are_counted_and_refutations_rate_limited(self) -> None:
         table = MemberTable(OWN)
         for i in range(10):
-            claim = replace(OWN, peer_port=9, incarnation=table.own.incarnation + 5)
-            table.merge(claim, i * CONFLICT_REFUTE_S / 5)
+            update = replace(OWN, peer_port=9, incarnation=table.own.incarnation + 5)
+            table.merge(update, i * MIN_CONFLICT_REFUTE_INTERVAL_S / 5)
         self.assertEqual(table.conflicts_by_id["own"], 10)
         self.assertLessEqual(table.own.incarnation, 1 + 2 * 6)
         self.assertEqual(table.own.peer_port, 1)
 
-    def test_a_live_member_that_moves_between_endpoints_is_counted(self) -> None:
+    def test_endpoint_changes_of_a_live_member_are_counted(self) -> None:
         table = MemberTable(OWN)
         for i in range(4):
             table.merge(replace(PEER, incarnation=i + 1, peer_port=2 + i % 2), 0.0)
         self.assertEqual(table.conflicts_by_id, {"a": 3})
-        table.reap(CONFLICTS_S)
+        table.reap(CONFLICT_WINDOW_S)
         self.assertEqual(table.conflicts_by_id, {})
 
 
 class ReapTests(unittest.TestCase):
-    def test_a_forgotten_member_is_not_brought_back_by_late_claims(self) -> None:
+    def test_late_updates_do_not_bring_back_a_removed_member(self) -> None:
         table = merged([PEER, replace(PEER, status=Status.DEAD)])
-        table.reap(REMEMBER_DEAD_S - 1)
+        table.reap(DEAD_RETENTION_S - 1)
         self.assertIn("a", table.by_id)
-        table.reap(REMEMBER_DEAD_S)
+        table.reap(DEAD_RETENTION_S)
         self.assertNotIn("a", table.by_id)
         for status in Status:
-            self.assertFalse(table.merge(replace(PEER, status=status), REMEMBER_DEAD_S))
-        self.assertTrue(table.merge(replace(PEER, incarnation=6), REMEMBER_DEAD_S))
+            self.assertFalse(table.merge(replace(PEER, status=status), DEAD_RETENTION_S))
+        self.assertTrue(table.merge(replace(PEER, incarnation=6), DEAD_RETENTION_S))
 
-    def test_a_dead_member_never_met_is_not_taken_in(self) -> None:
+    def test_a_dead_member_that_is_unknown_is_not_added(self) -> None:
         table = merged([replace(PEER, status=Status.DEAD)])
         self.assertNotIn("a", table.by_id)
         self.assertFalse(table.merge(PEER, 0.0))
@@ -176,13 +176,13 @@
         for i in range(MAX_TOMBSTONES + 5):
             tombstones.add(f"n{i}", 1, float(i >= 10))
         self.assertEqual(len(tombstones), MAX_TOMBSTONES)
-        tombstones.expire(TOMBSTONE_S)
+        tombstones.expire(TOMBSTONE_TTL_S)
         self.assertIsNone(tombstones.covering("n9", 1))
         self.assertEqual(tombstones.covering("n10", 1), 1)
 
 
 def assert_same(found: list[Member], scanned: list[Member]) -> None:
-    """The same members, each once, in any order."""
+    """Assert that both lists have the same members, each once, in any order."""
     assert sorted(found, key=lambda m: m.node_id) == sorted(scanned, key=lambda m: m.node_id)
 
 
@@ -195,16 +195,16 @@
         self.now = 0.0
         self.highest_gone: dict[str, int] = {}
 
-    @rule(claim=claims)
-    def merge(self, claim: Member) -> None:
-        self.table.merge(claim, self.now)
+    @rule(update=updates)
+    def merge(self, update: Member) -> None:
+        self.table.merge(update, self.now)
         gone = self.highest_gone
-        if not claim.is_live:
-            gone[claim.node_id] = max(gone.get(claim.node_id, 0), claim.incarnation)
+        if not update.is_live:
+            gone[update.node_id] = max(gone.get(update.node_id, 0), update.incarnation)
 
-    @rule(claim=own_claims)
-    def merge_own(self, claim: Member) -> None:
-        self.table.merge(claim, self.now)
+    @rule(update=own_updates)
+    def merge_own(self, update: Member) -> None:
+        self.table.merge(update, self.now)
 
     @rule(announced=targets)
     def announce(self, announced: Target | None) -> None:
@@ -214,7 +214,7 @@
     def mark(self, node_id: str, status: Status) -> None:
         self.table.raise_status(node_id, status, self.now)
 
-    @rule(seconds=st.sampled_from([1.0, REMEMBER_DEAD_S]))
+    @rule(seconds=st.sampled_from([1.0, DEAD_RETENTION_S]))
     def reap(self, seconds: float) -> None:
         self.now += seconds
         self.highest_gone = {}
@@ -230,8 +230,8 @@
         for data_centre in ("celje-a", "velenje"):
             near = [m for m in live if m.data_centre == data_centre]
             assert_same(table.in_data_centre(data_centre), near)
-        for status, held in ((Status.SUSPECT, table.suspects()), (Status.DEAD, table.dead())):
-            assert_same(held, [m for m in members if m.status is status])
+        for status, listed in ((Status.SUSPECT, table.suspects()), (Status.DEAD, table.dead())):
+            assert_same(listed, [m for m in members if m.status is status])
         for service, version in itertools.product(("statements", "payments"), ("v1", "v2")):
             ready = table.ready_targets(service, version)
             assert_same(ready, [m for m in members if m.ready_version == (service, version)])
@@ -246,10 +246,10 @@
         assert not fresh.differing_buckets(self.table.bucket_digests())
 
     @invariant()
-    def gone_incarnations_stay_gone(self) -> None:
+    def incarnations_that_ended_do_not_come_back(self) -> None:
         for node_id, incarnation in self.highest_gone.items():
-            held = self.table.by_id.get(node_id)
-            assert held is None or not held.is_live or held.incarnation > incarnation
+            current = self.table.by_id.get(node_id)
+            assert current is None or not current.is_live or current.incarnation > incarnation
 
 
 TableMachine.TestCase.settings = settings(max_examples=40, stateful_step_count=25)
