--- a/src/bulrushflow/rollouts/analysis.py
+++ b/src/bulrushflow/rollouts/analysis.py
@@ -3,8 +3,8 @@
 import enum
 from dataclasses import dataclass
 
+from bulrushflow.rollouts.comparison import RegressionSignal
 from bulrushflow.rollouts.comparison import RouteComparison
-from bulrushflow.rollouts.comparison import Sign
 from bulrushflow.rollouts.evidence import RouteCounts
 from bulrushflow.rollouts.evidence import VersionRoute
 
@@ -12,14 +12,14 @@
 """Strength of a sign of a fault from which the share isn't raised and the move isn't done."""
 UNCLEAR_STRENGTH = 0.4
 """Strength of a sign of a fault from which more calls are waited for, while there is time."""
-STAGE_CALLS = 30
+MIN_STAGE_CALLS = 30
 """Calls to the new version that a stage needs."""
-STAGE_ROUTE_CALLS = 8
+MIN_STAGE_ROUTE_CALLS = 8
 """Calls to the new version that a stage needs on each route with traffic."""
-ROUTE_TRAFFIC_SHARE = 0.02
+MIN_ROUTE_TRAFFIC_FRACTION = 0.02
 """Routes with less of the service's calls aren't waited for."""
 
-NO_SIGN = Sign(0.0, "", "")
+NO_SIGNAL = RegressionSignal(0.0, "", "")
 
 
 class AnalysisOutcome(enum.Enum):
@@ -54,7 +54,7 @@
     __slots__ = (
         "_by_route",
         "_from_version",
-        "_share",
+        "_share_permille",
         "_stage_base",
         "_stage_strength",
         "_started_s",
@@ -67,7 +67,7 @@
         self._from_version = from_version
         self._to_version = to_version
         self._by_route: dict[str, RouteComparison] = {}
-        self._share = 0
+        self._share_permille = 0
         self._stage_base: dict[str, int] = {}
         self._strength = 0.0
         self._stage_strength = 0.0
@@ -83,8 +83,8 @@
         """
         new_by_route = self._counts_by_route(totals, self._to_version)
         old_by_route = self._counts_by_route(totals, self._from_version)
-        if share_permille != self._share:
-            self._share = share_permille
+        if share_permille != self._share_permille:
+            self._share_permille = share_permille
             self.stage_started_s = now_s
             self._stage_strength = self._strength
             self._stage_base = {route: new.calls for route, new in new_by_route.items()}
@@ -95,8 +95,8 @@
                 self._by_route[route] = comparison
             old = old_by_route.get(route) or RouteCounts()
             new = new_by_route.get(route) or RouteCounts()
-            comparison.take(old, new, now_s)
-        return self._verdict(old_by_route, new_by_route)
+            comparison.update(old, new, now_s)
+        return self._result(old_by_route, new_by_route)
 
     def calls_per_s(self, totals: dict[VersionRoute, RouteCounts], now_s: float) -> float:
         """Return the service's mean rate of calls since this judge began."""
@@ -108,46 +108,46 @@
     ) -> dict[str, RouteCounts]:
         return {route: counts for (version, route), counts in totals.items() if version == wanted}
 
-    def _verdict(
+    def _result(
         self, old_by_route: dict[str, RouteCounts], new_by_route: dict[str, RouteCounts]
     ) -> AnalysisResult:
         stage_calls = sum(self._calls_in_stage(route, new_by_route) for route in self._by_route)
-        signs = [(comparison.worst(), route) for route, comparison in self._by_route.items()]
-        sign, worst_route = max(signs, key=lambda s: s[0].strength, default=(NO_SIGN, ""))
-        strength = self._strength = sign.strength
+        signals = [
+            (comparison.strongest_signal(), route) for route, comparison in self._by_route.items()
+        ]
+        signal, worst_route = max(signals, key=lambda s: s[0].strength, default=(NO_SIGNAL, ""))
+        strength = self._strength = signal.strength
         test = f"test strength {strength:.2f} of 1"
         if strength >= SUSPECT_STRENGTH:
-            judgement = AnalysisOutcome.FAULTY if strength >= 1 else AnalysisOutcome.SUSPECT
-            rule, evidence = sign.rule, f"route {worst_route}: {sign.figures}, {test}"
+            outcome = AnalysisOutcome.FAULTY if strength >= 1 else AnalysisOutcome.SUSPECT
+            rule, evidence = signal.rule, f"route {worst_route}: {signal.figures}, {test}"
         elif strength >= UNCLEAR_STRENGTH:
-            judgement = AnalysisOutcome.INSUFFICIENT
+            outcome = AnalysisOutcome.INSUFFICIENT
             rule, evidence = "unclear evidence", f"route {worst_route}: {test}"
-        elif lacking := self._lacking(old_by_route, new_by_route, stage_calls):
-            judgement = AnalysisOutcome.INSUFFICIENT
-            rule, evidence = "too few calls", lacking
+        elif missing := self._missing_calls(old_by_route, new_by_route, stage_calls):
+            outcome = AnalysisOutcome.INSUFFICIENT
+            rule, evidence = "too few calls", missing
         else:
-            judgement = AnalysisOutcome.HEALTHY
+            outcome = AnalysisOutcome.HEALTHY
             rule = "no route worse than the old version"
             evidence = f"{stage_calls} calls at this share, highest {test}"
-        return AnalysisResult(
-            judgement, rule, evidence, stage_calls, strength, self._stage_strength
-        )
+        return AnalysisResult(outcome, rule, evidence, stage_calls, strength, self._stage_strength)
 
     def _calls_in_stage(self, route: str, new_by_route: dict[str, RouteCounts]) -> int:
         new = new_by_route.get(route)
         return new.calls - self._stage_base.get(route, 0) if new else 0
 
-    def _lacking(
+    def _missing_calls(
         self,
         old_by_route: dict[str, RouteCounts],
         new_by_route: dict[str, RouteCounts],
         stage_calls: int,
     ) -> str:
-        if stage_calls < STAGE_CALLS:
-            return f"{stage_calls} of {STAGE_CALLS} calls at this share"
+        if stage_calls < MIN_STAGE_CALLS:
+            return f"{stage_calls} of {MIN_STAGE_CALLS} calls at this share"
         total = sum(counts.calls for counts in old_by_route.values())
         for route, old in sorted(old_by_route.items()):
             calls = self._calls_in_stage(route, new_by_route)
-            if old.calls >= ROUTE_TRAFFIC_SHARE * total and calls < STAGE_ROUTE_CALLS:
-                return f"route {route}: {calls} of {STAGE_ROUTE_CALLS} calls at this share"
+            if old.calls >= MIN_ROUTE_TRAFFIC_FRACTION * total and calls < MIN_STAGE_ROUTE_CALLS:
+                return f"route {route}: {calls} of {MIN_STAGE_ROUTE_CALLS} calls at this share"
         return ""
--- a/src/bulrushflow/rollouts/comparison.py
+++ b/src/bulrushflow/rollouts/comparison.py
@@ -8,7 +8,7 @@
 from bulrushflow.rollouts.sequential import ChangeDetector
 from bulrushflow.rollouts.sequential import Sample
 
-BLOCK_S = 0.5
+MIN_BLOCK_S = 0.5
 """Shortest block; a block also waits for calls to both versions."""
 MAX_BLOCK_S = 5.0
 """A block with calls to both versions, but few to the old one, is closed after so long."""
@@ -18,7 +18,7 @@
 """Calls to the old version that a block waits for."""
 HALF_LIFE_S = 30.0
 """Half-life of what the old version's calls showed, while enough of them are left."""
-MEMORY_CALLS = 400.0
+MIN_RETAINED_CALLS = 400.0
 """Calls to the old version below which nothing is forgotten."""
 MIN_HISTORY_CALLS = 20
 """Calls to the old version from which its latency is known well enough."""
@@ -26,7 +26,7 @@
 SLOW_TOLERANCE = 0.05
 TYPICAL_QUANTILE = 0.5
 TAIL_QUANTILE = 0.95
-SLOW_BUCKETS = 1
+SLOW_BUCKET_MARGIN = 1
 """A call is slow when it lies more than so many buckets above the old version's quantile."""
 
 
@@ -39,18 +39,18 @@
     latency_buckets: list[float] = field(default_factory=lambda: [0.0] * len(empty_buckets()))
 
     def add(self, calls: int, errors: int, buckets: list[int], elapsed_s: float) -> None:
-        kept = 0.5 ** (elapsed_s / HALF_LIFE_S)
+        decay_factor = 0.5 ** (elapsed_s / HALF_LIFE_S)
         if self.calls:
-            kept = max(kept, min(1.0, (MEMORY_CALLS - calls) / self.calls))
-        self.calls = self.calls * kept + calls
-        self.errors = self.errors * kept + errors
+            decay_factor = max(decay_factor, min(1.0, (MIN_RETAINED_CALLS - calls) / self.calls))
+        self.calls = self.calls * decay_factor + calls
+        self.errors = self.errors * decay_factor + errors
         for i, count in enumerate(buckets):
-            self.latency_buckets[i] = self.latency_buckets[i] * kept + count
+            self.latency_buckets[i] = self.latency_buckets[i] * decay_factor + count
 
     def error_rate(self) -> float:
         return (self.errors + 0.05) / (self.calls + 5)
 
-    def slow_from(self, quantile: float) -> int | None:
+    def first_slow_bucket(self, quantile: float) -> int | None:
         """Return the first bucket that counts as slow; ``None`` while too little is known."""
         total = sum(self.latency_buckets)
         if total < MIN_HISTORY_CALLS:
@@ -59,15 +59,15 @@
         for i, count in enumerate(self.latency_buckets):
             below += count
             if below >= quantile * total:
-                return i + 1 + SLOW_BUCKETS
+                return i + 1 + SLOW_BUCKET_MARGIN
         return None
 
-    def slow_rate(self, slow_from: int) -> float:
-        return sum(self.latency_buckets[slow_from:]) / sum(self.latency_buckets)
+    def slow_rate(self, first_slow_bucket: int) -> float:
+        return sum(self.latency_buckets[first_slow_bucket:]) / sum(self.latency_buckets)
 
 
 @dataclass(frozen=True, slots=True)
-class Sign:
+class RegressionSignal:
     """A sign of a fault: its strength from 0 to 1, its rule, and figures since the move began."""
 
     strength: float
@@ -98,20 +98,22 @@
             for quantile in (TYPICAL_QUANTILE, TAIL_QUANTILE)
         }
 
-    def worst(self) -> Sign:
+    def strongest_signal(self) -> RegressionSignal:
         """Return the strongest sign of a fault."""
         new, old = self._new, self._old
         slow = max(detector.strength for detector in self._slow.values())
         if self._errors.strength >= slow:
             figures = f"{new.errors}/{new.calls} errors, old {old.errors}/{old.calls}"
-            return Sign(self._errors.strength, "more errors than the old version", figures)
+            return RegressionSignal(
+                self._errors.strength, "more errors than the old version", figures
+            )
         figures = f"mean {_mean_ms(new):.0f} ms, old {_mean_ms(old):.0f} ms"
-        return Sign(slow, "slower than the old version", figures)
+        return RegressionSignal(slow, "slower than the old version", figures)
 
-    def take(self, old: RouteCounts, new: RouteCounts, now_s: float) -> None:
+    def update(self, old: RouteCounts, new: RouteCounts, now_s: float) -> None:
         """Take in cumulative counts; closes a block when it is due."""
         age_s = now_s - self._block_started_s
-        if age_s < BLOCK_S:
+        if age_s < MIN_BLOCK_S:
             return
         old_calls = old.calls - self._old.calls
         new_calls = new.calls - self._new.calls
@@ -136,12 +138,12 @@
             return
         old_total = sum(old_buckets)
         for quantile, detector in self._slow.items():
-            slow_from = self._history.slow_from(quantile)
-            if slow_from is None:
+            first_slow_bucket = self._history.first_slow_bucket(quantile)
+            if first_slow_bucket is None:
                 return
-            old_slow = Sample(old_total, sum(old_buckets[slow_from:]))
-            new_slow = Sample(new_total, sum(new_buckets[slow_from:]))
-            detector.add(old_slow, new_slow, self._history.slow_rate(slow_from))
+            old_slow = Sample(old_total, sum(old_buckets[first_slow_bucket:]))
+            new_slow = Sample(new_total, sum(new_buckets[first_slow_bucket:]))
+            detector.add(old_slow, new_slow, self._history.slow_rate(first_slow_bucket))
 
 
 def _is_block_due(old_calls: int, new_calls: int, age_s: float) -> bool:
--- a/src/bulrushflow/rollouts/controller.py
+++ b/src/bulrushflow/rollouts/controller.py
@@ -34,8 +34,8 @@
     """
 
     __slots__ = (
+        "_analysis",
         "_calls_per_s",
-        "_judge",
         "_limits",
         "_new_calls",
         "_times",
@@ -54,7 +54,7 @@
         self._to_version = to_version
         self._limits = limits
         self._new_calls = 0
-        self._judge = CanaryAnalysis(from_version, to_version, now_s)
+        self._analysis = CanaryAnalysis(from_version, to_version, now_s)
         self._times = times
         self._calls_per_s = 0.0
         self.latest_result = AnalysisResult(
@@ -68,8 +68,8 @@
 
         :param now_s: this node's monotonic clock.
         """
-        self.latest_result = self._judge.update(totals, share_permille, now_s)
-        self._calls_per_s = self._judge.calls_per_s(totals, now_s)
+        self.latest_result = self._analysis.update(totals, share_permille, now_s)
+        self._calls_per_s = self._analysis.calls_per_s(totals, now_s)
         self._new_calls = sum(
             counts.calls for (version, _), counts in totals.items() if version == self._to_version
         )
@@ -80,12 +80,12 @@
 
         :param now_ms: epoch milliseconds, to compare with the deadline.
         """
-        plan = RolloutSchedule(self._times.span_s, self._calls_per_s, self._exposure())
+        schedule = RolloutSchedule(self._times.span_s, self._calls_per_s, self._exposure_budget())
         elapsed_s = (now_ms - self._times.stated_at_ms) / 1000
-        stage_s = now_s - self._judge.stage_started_s
-        return decide_step(plan, share_permille, self.latest_result, elapsed_s, stage_s)
+        stage_s = now_s - self._analysis.stage_started_s
+        return decide_step(schedule, share_permille, self.latest_result, elapsed_s, stage_s)
 
-    def _exposure(self) -> ExposureBudget:
+    def _exposure_budget(self) -> ExposureBudget:
         if self._limits is None:
             return ExposureBudget()
         limit = self._limits.max_calls(self._calls_per_s, self._times.span_s)
--- a/src/bulrushflow/rollouts/evidence.py
+++ b/src/bulrushflow/rollouts/evidence.py
@@ -92,22 +92,22 @@
     What a node counted before it left or restarted stays in the totals.
     """
 
-    __slots__ = ("_heard_at", "_own_source", "by_rollout")
+    __slots__ = ("_last_report_at", "_own_source", "by_rollout")
 
     def __init__(self, own_id: str, incarnation: int = 0) -> None:
         self._own_source: Source = (own_id, incarnation)
-        self._heard_at: dict[tuple[int, str], float] = {}
+        self._last_report_at: dict[tuple[int, str], float] = {}
         self.by_rollout: dict[int, dict[Source, Evidence]] = {}
 
-    def local(self, move: int) -> Evidence:
+    def local(self, rollout_id: int) -> Evidence:
         """Return this process's own evidence, to be added to."""
-        by_source = self.by_rollout.setdefault(move, {})
-        held = by_source.get(self._own_source)
-        if held is None:
+        by_source = self.by_rollout.setdefault(rollout_id, {})
+        current = by_source.get(self._own_source)
+        if current is None:
             node_id, incarnation = self._own_source
-            held = Evidence(move, node_id, incarnation=incarnation)
-            by_source[self._own_source] = held
-        return held
+            current = Evidence(rollout_id, node_id, incarnation=incarnation)
+            by_source[self._own_source] = current
+        return current
 
     def merge(self, evidence: Evidence, now_s: float = 0.0) -> None:
         """Take in another node's evidence unless a newer one is held.
@@ -117,29 +117,29 @@
         if evidence.source == self._own_source:
             return
         key = (evidence.rollout_id, evidence.node_id)
-        self._heard_at[key] = max(now_s, self._heard_at.get(key, now_s))
+        self._last_report_at[key] = max(now_s, self._last_report_at.get(key, now_s))
         by_source = self.by_rollout.setdefault(evidence.rollout_id, {})
-        held = by_source.get(evidence.source)
-        if held is None or held.sequence < evidence.sequence:
+        current = by_source.get(evidence.source)
+        if current is None or current.sequence < evidence.sequence:
             by_source[evidence.source] = evidence
 
-    def last_report_at(self, move: int, node_id: str) -> float | None:
+    def last_report_at(self, rollout_id: int, node_id: str) -> float | None:
         """Return when a node last reported, on this node's monotonic clock."""
-        return self._heard_at.get((move, node_id))
+        return self._last_report_at.get((rollout_id, node_id))
 
-    def totals(self, move: int) -> dict[VersionRoute, RouteCounts]:
+    def totals(self, rollout_id: int) -> dict[VersionRoute, RouteCounts]:
         """Return the sum over all nodes."""
         totals: dict[VersionRoute, RouteCounts] = {}
-        for evidence in self.by_rollout.get(move, {}).values():
+        for evidence in self.by_rollout.get(rollout_id, {}).values():
             for key, counts in evidence.counts_by_version_route.items():
                 totals.setdefault(key, RouteCounts()).add(counts)
         return totals
 
-    def retain(self, moves: t.Collection[int]) -> None:
+    def retain(self, rollout_ids: t.Collection[int]) -> None:
         """Drop the evidence on finished moves."""
-        for move in list(self.by_rollout):
-            if move not in moves:
-                del self.by_rollout[move]
-        for key in list(self._heard_at):
-            if key[0] not in moves:
-                del self._heard_at[key]
+        for rollout_id in list(self.by_rollout):
+            if rollout_id not in rollout_ids:
+                del self.by_rollout[rollout_id]
+        for key in list(self._last_report_at):
+            if key[0] not in rollout_ids:
+                del self._last_report_at[key]
--- a/src/bulrushflow/rollouts/exposure.py
+++ b/src/bulrushflow/rollouts/exposure.py
@@ -3,9 +3,9 @@
 import math
 from dataclasses import dataclass
 
-SAFE_PART = 0.9
+SAFETY_FACTOR = 0.9
 """Part of the bound that is planned with; evidence comes late and rates of calls change."""
-STAGES = 2
+STAGES_BEFORE_LAST = 2
 """Shares before the last one that the calls are divided between."""
 
 
@@ -20,7 +20,7 @@
 
     def max_calls(self, calls_per_s: float, span_s: float) -> float:
         """Return the calls that a move is planned with."""
-        return SAFE_PART * (self.share * calls_per_s * span_s + self.slack)
+        return SAFETY_FACTOR * (self.share * calls_per_s * span_s + self.slack)
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
         return math.isfinite(self.limit)
 
     @property
-    def is_used_up(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Whether the version had all calls that one without proof may get."""
         return self.used >= self.limit
 
@@ -44,9 +44,9 @@
         """Tell whether the version may get so many more calls."""
         return self.used + calls <= self.limit
 
-    def stage_calls(self, kept: float) -> float:
+    def calls_per_stage(self, reserved: float) -> float:
         """Return the calls for one share before the last.
 
-        :param kept: calls that are kept for the last share.
+        :param reserved: calls that are kept for the last share.
         """
-        return max(0.0, self.limit - kept) / STAGES
+        return max(0.0, self.limit - reserved) / STAGES_BEFORE_LAST
--- a/src/bulrushflow/rollouts/sequential.py
+++ b/src/bulrushflow/rollouts/sequential.py
@@ -15,7 +15,7 @@
 """Collected value against the old version's known rate from which a fault is told."""
 THRESHOLD_CONTROL = 3e3
 """Collected value against the old version's calls of the same blocks from which it is told."""
-MAX_CONTROL_LOG = math.log(THRESHOLD_CONTROL) / 4
+MAX_CONTROL_LOG_RATIO = math.log(THRESHOLD_CONTROL) / 4
 """Bound on one block's weight against the old version's calls, since reports of one moment come
 unevenly and one block must not decide alone."""
 EFFECTS: t.Final = (0.05, 0.2, 0.6)
@@ -36,7 +36,7 @@
     bad: float
 
 
-class _Sums:
+class _ShiryaevRobertsSums:
     """Shiryaev-Roberts sums of e-values, one for each alternative."""
 
     __slots__ = ("_limit", "_sums")
@@ -49,7 +49,7 @@
     def value(self) -> float:
         return sum(self._sums) / len(self._sums)
 
-    def collect(self, i: int, log_value: float) -> None:
+    def update(self, i: int, log_value: float) -> None:
         factor = math.exp(max(-50.0, min(self._limit, log_value)))
         self._sums[i] = min((self._sums[i] + 1) * factor, MAX_SUM)
 
@@ -67,8 +67,8 @@
     def __init__(self, tolerance: float) -> None:
         """:param tolerance: part of calls by which the new version may be worse."""
         self._tolerance = tolerance
-        self._against_history = _Sums(math.log(THRESHOLD_HISTORY))
-        self._against_control = _Sums(MAX_CONTROL_LOG)
+        self._against_history = _ShiryaevRobertsSums(math.log(THRESHOLD_HISTORY))
+        self._against_control = _ShiryaevRobertsSums(MAX_CONTROL_LOG_RATIO)
 
     @property
     def strength(self) -> float:
@@ -93,7 +93,7 @@
         for i, effect in enumerate(EFFECTS):
             new_rate = _clamp(old_rate + effect * (1 - old_rate))
             log_value = _log_ratio(new.calls, new.bad, new_rate, old_rate)
-            self._against_history.collect(i, log_value)
+            self._against_history.update(i, log_value)
 
     def _add_control(self, old: Sample, new: Sample, expected: float) -> None:
         old_rate = _clamp(expected + self._tolerance)
@@ -104,13 +104,13 @@
             pooled = (new.calls * new_rate + old.calls * old_rate) / (new.calls + old.calls)
             log_value = _log_ratio(new.calls, new.bad, new_rate, pooled)
             log_value += _log_ratio(old.calls, bad, old_rate, pooled)
-            self._against_control.collect(i, log_value)
+            self._against_control.update(i, log_value)
 
     def _add_without_control(self, new: Sample, expected: float) -> None:
         known = _clamp(expected + self._tolerance + NO_CONTROL_TOLERANCE)
         for i, effect in enumerate(EFFECTS):
             new_rate = _clamp(known + effect * (1 - known))
-            self._against_control.collect(i, _log_ratio(new.calls, new.bad, new_rate, known))
+            self._against_control.update(i, _log_ratio(new.calls, new.bad, new_rate, known))
 
 
 def _clamp(rate: float) -> float:
--- a/src/bulrushflow/rollouts/shared.py
+++ b/src/bulrushflow/rollouts/shared.py
@@ -16,14 +16,14 @@
     def join(self, other: "SharedRollout") -> "SharedRollout":
         """Return the least state that includes both."""
         rolled_back = self.rolled_back or other.rolled_back
-        verdicts = [m for m in (self, other) if m.rolled_back]
-        first = min(verdicts, key=lambda m: (m.reason, m.decided_by)) if verdicts else self
+        rollbacks = [m for m in (self, other) if m.rolled_back]
+        first = min(rollbacks, key=lambda m: (m.reason, m.decided_by)) if rollbacks else self
         return SharedRollout(
             self.offset,
             max(self.share_permille, other.share_permille),
             rolled_back,
-            first.reason if verdicts else "",
-            first.decided_by if verdicts else "",
+            first.reason if rollbacks else "",
+            first.decided_by if rollbacks else "",
         )
 
 
@@ -45,24 +45,24 @@
         """
         if state.offset <= self._version and state.offset not in self._active:
             return False
-        held = self.by_offset.get(state.offset)
-        joined = state if held is None else held.join(state)
-        if joined == held:
+        current = self.by_offset.get(state.offset)
+        joined = state if current is None else current.join(state)
+        if joined == current:
             return False
         self.by_offset[state.offset] = joined
         return True
 
     def share_permille(self, offset: int) -> int:
         """Return the share of calls for the new version: 0 when unknown or taken back."""
-        held = self.by_offset.get(offset)
-        if held is None or held.rolled_back:
+        current = self.by_offset.get(offset)
+        if current is None or current.rolled_back:
             return 0
-        return held.share_permille
+        return current.share_permille
 
     def is_rolled_back(self, offset: int) -> bool:
         """Tell whether any node took the move back."""
-        held = self.by_offset.get(offset)
-        return held is not None and held.rolled_back
+        current = self.by_offset.get(offset)
+        return current is not None and current.rolled_back
 
     def keep_active(self, offsets: frozenset[int], version: int) -> None:
         """Drop the moves that are final in configuration ``version``."""
--- a/src/bulrushflow/rollouts/steps.py
+++ b/src/bulrushflow/rollouts/steps.py
@@ -3,26 +3,26 @@
 import math
 from dataclasses import dataclass
 
-from bulrushflow.rollouts.analysis import STAGE_CALLS
+from bulrushflow.rollouts.analysis import MIN_STAGE_CALLS
 from bulrushflow.rollouts.analysis import SUSPECT_STRENGTH
 from bulrushflow.rollouts.analysis import UNCLEAR_STRENGTH
 from bulrushflow.rollouts.analysis import AnalysisOutcome
 from bulrushflow.rollouts.analysis import AnalysisResult
-from bulrushflow.rollouts.schedule import FULL_PERMILLE
 from bulrushflow.rollouts.schedule import MIN_BAKE_S
+from bulrushflow.rollouts.schedule import MIN_LAST_PERMILLE
 from bulrushflow.rollouts.schedule import MIN_STAGE_S
-from bulrushflow.rollouts.schedule import SLACK_S
+from bulrushflow.rollouts.schedule import SCHEDULING_SLACK_S
 from bulrushflow.rollouts.schedule import STAGES_PERMILLE
 from bulrushflow.rollouts.schedule import RolloutSchedule
 
 MAX_FIRST_PERMILLE = 250
 FIRST_STAGE_CALLS = 30
 """Calls that the first share should bring within its time."""
-FLOOR_CALLS = 3
+MIN_STEP_CALLS = 3
 """Calls to the new version without which no share is raised, whatever the deadline."""
-FINER = 0.9
+FIRST_SHARE_STEP_FACTOR = 0.9
 """Step between the first shares that are weighed."""
-PATIENCE = 0.5
+STAGE_OVERRUN_FRACTION = 0.5
 """Part of a stage's time by which it may run over to wait for calls."""
 
 
@@ -41,9 +41,9 @@
 
 
 def decide_step(
-    plan: RolloutSchedule,
+    schedule: RolloutSchedule,
     share_permille: int,
-    verdict: AnalysisResult,
+    result: AnalysisResult,
     now_s: float,
     stage_s: float,
 ) -> StepDecision:
@@ -52,102 +52,113 @@
     :param now_s: seconds since the move was stated.
     :param stage_s: seconds for which the present share has been in force.
     """
-    if verdict.outcome is AnalysisOutcome.FAULTY:
-        return StepDecision(share_permille, verdict.rule, roll_back=True)
-    if share_permille and _is_exposed(plan, share_permille, verdict):
-        rule = f"{verdict.rule}, and no calls are left that it may get unproved"
+    if result.outcome is AnalysisOutcome.FAULTY:
+        return StepDecision(share_permille, result.rule, roll_back=True)
+    if share_permille and _is_exposure_exhausted(schedule, share_permille, result):
+        rule = f"{result.rule}, and no calls are left that it may get unproved"
         return StepDecision(share_permille, rule, roll_back=True)
-    if share_permille >= FULL_PERMILLE:
-        return _bake(plan, share_permille, verdict, now_s, stage_s)
-    if now_s >= plan.finish_by_s:
-        return _late(share_permille, verdict)
-    if now_s > plan.latest_s:
+    if share_permille >= MIN_LAST_PERMILLE:
+        return _bake(schedule, share_permille, result, now_s, stage_s)
+    if now_s >= schedule.finish_by_s:
+        return _deadline_passed(share_permille, result)
+    if now_s > schedule.latest_bake_start_s:
         return StepDecision(
             share_permille,
-            f"too little time for {MIN_BAKE_S:g} s at the last share: {verdict.rule}",
+            f"too little time for {MIN_BAKE_S:g} s at the last share: {result.rule}",
             at_risk=True,
         )
     if share_permille == 0:
-        return _first(plan, now_s)
-    return _raise(plan, share_permille, verdict, now_s, stage_s)
+        return _first_stage(schedule, now_s)
+    return _raise_share(schedule, share_permille, result, now_s, stage_s)
 
 
-def first_permille(plan: RolloutSchedule, stage_s: float) -> int:
+def first_permille(schedule: RolloutSchedule, stage_s: float) -> int:
     """Return the first share: higher where few calls would take too long to tell anything."""
-    wanted = 1000 * FIRST_STAGE_CALLS / max(1e-6, plan.calls_per_s * stage_s)
+    wanted = 1000 * FIRST_STAGE_CALLS / max(1e-6, schedule.calls_per_s * stage_s)
     return max(STAGES_PERMILLE[0], min(MAX_FIRST_PERMILLE, math.ceil(wanted)))
 
 
-def _first(plan: RolloutSchedule, now_s: float) -> StepDecision:
-    if now_s < plan.baseline_s:
+def _first_stage(schedule: RolloutSchedule, now_s: float) -> StepDecision:
+    if now_s < schedule.baseline_s:
         return StepDecision(0, "learning the old version's figures")
-    left_s = max(0.0, plan.bake_start_s - now_s)
-    share = first_permille(plan, max(MIN_STAGE_S, left_s / len(STAGES_PERMILLE)))
-    while share > STAGES_PERMILLE[0] and not _is_affordable(plan, share, left_s):
-        share = max(STAGES_PERMILLE[0], int(share * FINER))
+    left_s = max(0.0, schedule.bake_start_s - now_s)
+    share = first_permille(schedule, max(MIN_STAGE_S, left_s / len(STAGES_PERMILLE)))
+    while share > STAGES_PERMILLE[0] and not _is_affordable(schedule, share, left_s):
+        share = max(STAGES_PERMILLE[0], int(share * FIRST_SHARE_STEP_FACTOR))
     return StepDecision(share, "first share")
 
 
-def _is_affordable(plan: RolloutSchedule, share_permille: int, left_s: float) -> bool:
-    due_s = plan.due_s(plan.stages_above(share_permille), left_s)
-    return due_s <= plan.stage_s(share_permille)
+def _is_affordable(schedule: RolloutSchedule, share_permille: int, left_s: float) -> bool:
+    planned_stage_s = schedule.planned_stage_s(schedule.stages_above(share_permille), left_s)
+    return planned_stage_s <= schedule.max_stage_s(share_permille)
 
 
-def _raise(
-    plan: RolloutSchedule,
+def _raise_share(
+    schedule: RolloutSchedule,
     share_permille: int,
-    verdict: AnalysisResult,
+    result: AnalysisResult,
     now_s: float,
     stage_s: float,
 ) -> StepDecision:
-    stages = plan.stages_above(share_permille)
+    stages = schedule.stages_above(share_permille)
     # The time of the present share is part of what is divided, so that a late start is made up.
-    due_s = plan.due_s(stages, plan.bake_start_s - now_s + stage_s)
-    if stage_s < due_s and not _is_last_chance(plan, share_permille, stages[0], stage_s):
+    planned_stage_s = schedule.planned_stage_s(stages, schedule.bake_start_s - now_s + stage_s)
+    if stage_s < planned_stage_s and not _is_last_chance(
+        schedule, share_permille, stages[0], stage_s
+    ):
         return StepDecision(share_permille, "ahead of the schedule")
-    if verdict.outcome is AnalysisOutcome.SUSPECT:
-        return StepDecision(share_permille, f"held: {verdict.rule}", at_risk=stage_s > 2 * due_s)
+    if result.outcome is AnalysisOutcome.SUSPECT:
+        return StepDecision(
+            share_permille, f"held: {result.rule}", at_risk=stage_s > 2 * planned_stage_s
+        )
     rule = "healthy and due by the schedule"
-    if verdict.outcome is AnalysisOutcome.INSUFFICIENT:
-        overdue = stage_s >= (1 + PATIENCE) * due_s or now_s + SLACK_S > plan.latest_s
-        if not overdue or verdict.stage_calls < FLOOR_CALLS:
-            return StepDecision(share_permille, verdict.rule, at_risk=stage_s > 2 * due_s)
+    if result.outcome is AnalysisOutcome.INSUFFICIENT:
+        overdue = (
+            stage_s >= (1 + STAGE_OVERRUN_FRACTION) * planned_stage_s
+            or now_s + SCHEDULING_SLACK_S > schedule.latest_bake_start_s
+        )
+        if not overdue or result.stage_calls < MIN_STEP_CALLS:
+            return StepDecision(share_permille, result.rule, at_risk=stage_s > 2 * planned_stage_s)
         # On few calls no share is left out, however late it is.
-        rule = f"{verdict.rule}, but the deadline allows no longer wait"
-        return _if_allowed(plan, share_permille, stages[0], rule)
+        rule = f"{result.rule}, but the deadline allows no longer wait"
+        return _raise_within_exposure(schedule, share_permille, stages[0], rule)
     # The bake time gives way before any share is left out.
-    left_s = plan.finish_by_s - plan.margin_s - max(MIN_BAKE_S, plan.bake_s / 2) - now_s
-    return _if_allowed(plan, share_permille, _next_stage(stages, left_s), rule)
+    left_s = schedule.finish_by_s - schedule.margin_s - max(MIN_BAKE_S, schedule.bake_s / 2) - now_s
+    return _raise_within_exposure(schedule, share_permille, _next_stage(stages, left_s), rule)
 
 
-def _is_exposed(plan: RolloutSchedule, share_permille: int, verdict: AnalysisResult) -> bool:
+def _is_exposure_exhausted(
+    schedule: RolloutSchedule, share_permille: int, result: AnalysisResult
+) -> bool:
     """Tell whether the version had as many calls as it may get with what is known of it."""
-    unclear = verdict.strength >= UNCLEAR_STRENGTH
-    if plan.exposure.is_used_up:
+    unclear = result.strength >= UNCLEAR_STRENGTH
+    if schedule.exposure.is_exhausted:
         # Below the last share it can't be raised any more either.
-        return unclear or share_permille < FULL_PERMILLE
+        return unclear or share_permille < MIN_LAST_PERMILLE
     if not unclear:
         return False
     # A sign that was there before this share and fades is no fault that shows at this share.
-    grows = verdict.strength > verdict.stage_strength
-    return grows and not plan.exposure.allows(plan.reaction_calls(share_permille))
+    grows = result.strength > result.stage_strength
+    return grows and not schedule.exposure.allows(schedule.calls_before_rollback(share_permille))
 
 
 def _is_last_chance(
-    plan: RolloutSchedule, share_permille: int, raised_permille: int, stage_s: float
+    schedule: RolloutSchedule, share_permille: int, raised_permille: int, stage_s: float
 ) -> bool:
     """Tell whether the present share's calls would soon forbid a higher one."""
-    if stage_s < MIN_STAGE_S or not plan.exposure.is_bounded:
+    if stage_s < MIN_STAGE_S or not schedule.exposure.is_bounded:
         return False
-    calls = plan.reaction_calls(share_permille) + plan.reaction_calls(raised_permille)
-    return not plan.exposure.allows(calls)
+    calls = schedule.calls_before_rollback(share_permille) + schedule.calls_before_rollback(
+        raised_permille
+    )
+    return not schedule.exposure.allows(calls)
 
 
-def _if_allowed(
-    plan: RolloutSchedule, share_permille: int, raised_permille: int, rule: str
+def _raise_within_exposure(
+    schedule: RolloutSchedule, share_permille: int, raised_permille: int, rule: str
 ) -> StepDecision:
     """Raise the share, unless a fault that shows only there would hit too many calls."""
-    if plan.exposure.allows(plan.reaction_calls(raised_permille)):
+    if schedule.exposure.allows(schedule.calls_before_rollback(raised_permille)):
         return StepDecision(raised_permille, rule)
     rule = f"{rule}, but {raised_permille / 10:g}% would bring too many calls if it is faulty"
     return StepDecision(share_permille, rule, at_risk=True)
@@ -161,33 +172,33 @@
 
 
 def _bake(
-    plan: RolloutSchedule,
+    schedule: RolloutSchedule,
     share_permille: int,
-    verdict: AnalysisResult,
+    result: AnalysisResult,
     now_s: float,
     stage_s: float,
 ) -> StepDecision:
     # A move that has baked is done even when the log takes its record only after the deadline.
-    if stage_s >= plan.bake_s and verdict.outcome is AnalysisOutcome.HEALTHY:
+    if stage_s >= schedule.bake_s and result.outcome is AnalysisOutcome.HEALTHY:
         return StepDecision(share_permille, "bake time at the last share is over", completed=True)
-    end_s = plan.finish_by_s - plan.margin_s
+    end_s = schedule.finish_by_s - schedule.margin_s
     if now_s < end_s:
         rule = "bake time at the last share"
-        if verdict.outcome is AnalysisOutcome.SUSPECT:
-            rule = f"held: {verdict.rule}"
+        if result.outcome is AnalysisOutcome.SUSPECT:
+            rule = f"held: {result.rule}"
         return StepDecision(share_permille, rule)
     # The fewer the calls, the less of a sign of a fault is let pass.
-    few = verdict.stage_calls < STAGE_CALLS
+    few = result.stage_calls < MIN_STAGE_CALLS
     limit = UNCLEAR_STRENGTH if few else SUSPECT_STRENGTH
-    enough = stage_s >= MIN_BAKE_S and verdict.stage_calls >= FLOOR_CALLS
-    if enough and verdict.strength < limit:
+    enough = stage_s >= MIN_BAKE_S and result.stage_calls >= MIN_STEP_CALLS
+    if enough and result.strength < limit:
         rule = f"the deadline cut the bake time to {stage_s:.0f} s"
         return StepDecision(share_permille, rule, completed=True)
-    if now_s >= plan.finish_by_s:
-        return _late(share_permille, verdict)
-    return StepDecision(share_permille, verdict.rule, at_risk=True)
+    if now_s >= schedule.finish_by_s:
+        return _deadline_passed(share_permille, result)
+    return StepDecision(share_permille, result.rule, at_risk=True)
 
 
-def _late(share_permille: int, verdict: AnalysisResult) -> StepDecision:
-    rule = f"the deadline passed at {share_permille / 10:g}%: {verdict.rule}"
+def _deadline_passed(share_permille: int, result: AnalysisResult) -> StepDecision:
+    rule = f"the deadline passed at {share_permille / 10:g}%: {result.rule}"
     return StepDecision(share_permille, rule, roll_back=True)
--- a/src/bulrushflow/rollouts/versions.py
+++ b/src/bulrushflow/rollouts/versions.py
@@ -14,7 +14,7 @@
     """Follows the configuration and tells the versions that may get no new calls."""
 
     __slots__ = (
-        "_given_up_by_service",
+        "_abandoned_by_service",
         "_replaced_at",
         "_stable_by_service",
         "active_rollout_by_service",
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         # Asked for each call, so worked out once for each configuration.
         self.active_rollout_by_service: dict[str, Rollout] = {}
-        self._given_up_by_service: dict[str, str] = {}
+        self._abandoned_by_service: dict[str, str] = {}
         self._stable_by_service: dict[str, str] = {}
         self._replaced_at: dict[tuple[str, str], float] = {}
 
@@ -36,15 +36,15 @@
             if now_s - replaced_at > GRACE_S:
                 del self._replaced_at[key]
         for service in configuration.services_by_name.values():
-            held = self._stable_by_service.get(service.name)
-            if held is not None and held != service.version:
-                self._replaced_at[service.name, held] = now_s
+            previous = self._stable_by_service.get(service.name)
+            if previous is not None and previous != service.version:
+                self._replaced_at[service.name, previous] = now_s
             self._stable_by_service[service.name] = service.version
         for name in list(self._stable_by_service):
             if name not in configuration.services_by_name:
                 del self._stable_by_service[name]
         self.active_rollout_by_service = {m.service: m for m in configuration.active_rollouts()}
-        self._given_up_by_service = _given_up_by_service(configuration)
+        self._abandoned_by_service = _abandoned_by_service(configuration)
 
     def is_forbidden(
         self,
@@ -64,26 +64,26 @@
         stable = self._stable_by_service.get(service)
         if stable is None or version == stable:
             return False
-        move = self.active_rollout_by_service.get(service)
-        if move is not None and move.to_version == version:
-            return is_rolled_back(move.offset)
-        if self._given_up_by_service.get(service) == version:
+        rollout = self.active_rollout_by_service.get(service)
+        if rollout is not None and rollout.to_version == version:
+            return is_rolled_back(rollout.offset)
+        if self._abandoned_by_service.get(service) == version:
             return True
         replaced_at = self._replaced_at.get((service, version))
         return replaced_at is None or now_s - replaced_at > GRACE_S
 
 
-def _given_up_by_service(configuration: Configuration) -> dict[str, str]:
+def _abandoned_by_service(configuration: Configuration) -> dict[str, str]:
     """Return the versions whose move, the newest of their service, ended without them."""
     newest_by_service: dict[str, Rollout] = {}
-    for move in configuration.moves_by_id.values():
-        newest = newest_by_service.get(move.service)
-        if move.status is RolloutStatus.ACTIVE:
+    for rollout in configuration.moves_by_id.values():
+        newest = newest_by_service.get(rollout.service)
+        if rollout.status is RolloutStatus.ACTIVE:
             continue
-        if newest is None or newest.finished_offset < move.finished_offset:
-            newest_by_service[move.service] = move
+        if newest is None or newest.finished_offset < rollout.finished_offset:
+            newest_by_service[rollout.service] = rollout
     return {
-        service: move.to_version
-        for service, move in newest_by_service.items()
-        if move.status is not RolloutStatus.COMPLETED
+        service: rollout.to_version
+        for service, rollout in newest_by_service.items()
+        if rollout.status is not RolloutStatus.COMPLETED
     }
--- a/tests/rollouts/test_steps.py
+++ b/tests/rollouts/test_steps.py
@@ -12,7 +12,7 @@
 from bulrushflow.rollouts import RolloutSchedule
 from bulrushflow.rollouts import StepDecision
 from bulrushflow.rollouts import decide_step
-from bulrushflow.rollouts.schedule import FULL_PERMILLE
+from bulrushflow.rollouts.schedule import MIN_LAST_PERMILLE
 
 
 def verdict(judgement: AnalysisOutcome, stage_calls: int = 100) -> AnalysisResult:
@@ -46,7 +46,7 @@
         outcome, ended_s, shares = run(RolloutSchedule(span_s, rate), HEALTHY)
         self.assertEqual(outcome, "done")
         self.assertLess(ended_s, span_s)
-        self.assertGreaterEqual(shares[-1], FULL_PERMILLE)
+        self.assertGreaterEqual(shares[-1], MIN_LAST_PERMILLE)
         self.assertEqual(shares, sorted(shares))
 
     @settings(max_examples=60)
@@ -66,7 +66,7 @@
         self.assertFalse(pace.completed and pace.roll_back)
         self.assertEqual(pace.roll_back, pace.roll_back or judgement is AnalysisOutcome.FAULTY)
         if pace.completed:
-            self.assertGreaterEqual(share, FULL_PERMILLE)
+            self.assertGreaterEqual(share, MIN_LAST_PERMILLE)
 
     def test_a_late_start_is_made_up_for(self) -> None:
         outcome, ended_s, _ = run(RolloutSchedule(100, 50), HEALTHY, begins_s=60.0)
