--- a/src/bulrushflow/sidecar/driver.py
+++ b/src/bulrushflow/sidecar/driver.py
@@ -30,12 +30,12 @@
 from bulrushflow.wire import messages
 from bulrushflow.wire.links import Links
 
-CHECK_S = 0.25
-JUDGES = 3
+CHECK_PERIOD_S = 0.25
+ANALYSIS_NODES = 3
 """Nodes that get all evidence; more of them would only cost messages."""
-RANK_WAIT_S = 1.2
+RANK_DELAY_S = 1.2
 """Wait of each further node for the ones before it to take a step that is due."""
-EMPTYING_S = 1.8
+DRAIN_S = 1.8
 """Time without new calls after which the old version has answered what it had."""
 
 
@@ -47,7 +47,7 @@
         own_key: str,
         own_id: str,
         own_service: t.Callable[[], str],
-        moves: Rollouts,
+        rollouts: Rollouts,
         directory: Directory,
         links: Links,
         statuses: StatusLog,
@@ -58,7 +58,7 @@
         self._own_key = own_key
         self._own_id = own_id
         self._own_service = own_service
-        self._moves = moves
+        self._rollouts = rollouts
         self._directory = directory
         self._links = links
         self._statuses = statuses
@@ -68,34 +68,34 @@
         """Order and step that are due, and since when."""
         self._sending: set[asyncio.Task[None]] = set()
         self._unwritten: dict[str, RolloutStatus] = {}
-        links.handle("evidence_report", self._take_evidence)
-        links.handle("state_notice", self._take_notice)
-        timers.subscribe("moves", CHECK_S, self.check)
+        links.handle("evidence_report", self._on_evidence_report)
+        links.handle("state_notice", self._on_state_notice)
+        timers.subscribe("moves", CHECK_PERIOD_S, self.check)
 
     async def check(self) -> None:
         """Look after this service's move once."""
-        move = self._moves.by_service.get(self._own_service())
-        if move is None:
+        rollout = self._rollouts.by_service.get(self._own_service())
+        if rollout is None:
             return
         now = asyncio.get_running_loop().time()
-        if move.phase is RolloutPhase.RUNNING:
-            self._spread(move)
-            reason = self._moves.update_analysis(move, now)
+        if rollout.phase is RolloutPhase.RUNNING:
+            self._send_evidence(rollout)
+            reason = self._rollouts.update_analysis(rollout, now)
             if reason is not None:
-                self.roll_back(move, reason)
+                self.roll_back(rollout, reason)
             else:
-                await self._pace(move, now)
-        unwritten = self._unwritten.get(move.order.service)
+                await self._advance(rollout, now)
+        unwritten = self._unwritten.get(rollout.order.service)
         if unwritten is not None:
-            await self._write(move, unwritten)
+            await self._write(rollout, unwritten)
 
-    def _spread(self, move: Rollout) -> None:
-        evidence = self._moves.local_evidence(move)
+    def _send_evidence(self, rollout: Rollout) -> None:
+        evidence = self._rollouts.local_evidence(rollout)
         if evidence.sequence:
             message = codec.evidence_to_message(evidence)
-            self._tell(self._drivers()[:JUDGES], evidence_report=message)
+            self._send(self._drivers()[:ANALYSIS_NODES], evidence_report=message)
 
-    def _tell(self, keys: t.Iterable[str], **body: t.Any) -> None:
+    def _send(self, keys: t.Iterable[str], **body: t.Any) -> None:
         """Send to the other ones of some nodes; nothing waits for them."""
         for key in keys:
             if key == self._own_key:
@@ -105,64 +105,66 @@
             self._sending.add(sending)
             sending.add_done_callback(self._sending.discard)
 
-    def roll_back(self, move: Rollout, reason: str) -> None:
+    def roll_back(self, rollout: Rollout, reason: str) -> None:
         """Take a version back here and on every node that can be reached, then record it."""
-        status = self._next(move, 0, RolloutPhase.ROLLED_BACK, reason)
-        self._moves.apply_status(status, asyncio.get_running_loop().time())
-        self._unwritten[move.order.service] = status
+        status = self._next_status(rollout, 0, RolloutPhase.ROLLED_BACK, reason)
+        self._rollouts.apply_status(status, asyncio.get_running_loop().time())
+        self._unwritten[rollout.order.service] = status
         notice = messages.StateNotice(
-            key=ROLLOUT_KEY_PREFIX + move.order.service, value=encode_rollout_status(status)
+            key=ROLLOUT_KEY_PREFIX + rollout.order.service, value=encode_rollout_status(status)
         )
         # No take-back may wait for the store, or for a node that doesn't answer.
-        self._tell(self._directory.peers_by_key, state_notice=notice)
+        self._send(self._directory.peers_by_key, state_notice=notice)
 
-    async def _pace(self, move: Rollout, now: float) -> None:
-        step = self._due_step(move, now)
+    async def _advance(self, rollout: Rollout, now: float) -> None:
+        step = self._due_step(rollout, now)
         if step is None:
             return
-        key = (move.order.order_id, step.step)
+        key = (rollout.order.order_id, step.step)
         if self._due is None or self._due[0] != key:
             self._due = (key, now)
         rank = self._rank()
         # The others have their own evidence only, which is none to raise a share by.
-        if rank >= JUDGES or now - self._due[1] < rank * RANK_WAIT_S:
+        if rank >= ANALYSIS_NODES or now - self._due[1] < rank * RANK_DELAY_S:
             return
         if step.phase is RolloutPhase.ROLLED_BACK:
-            self.roll_back(move, step.reason)
+            self.roll_back(rollout, step.reason)
             return
-        await self._write(move, step)
+        await self._write(rollout, step)
 
-    def _due_step(self, move: Rollout, now: float) -> RolloutStatus | None:
-        status = move.status
+    def _due_step(self, rollout: Rollout, now: float) -> RolloutStatus | None:
+        status = rollout.status
         if status is None:
-            return self._next(move, 0, RolloutPhase.RUNNING, "ordered")
+            return self._next_status(rollout, 0, RolloutPhase.RUNNING, "ordered")
         if status.share_permille >= FULL_PERMILLE:
-            if now - move.share_since < EMPTYING_S:
+            if now - rollout.share_since < DRAIN_S:
                 return None
-            return self._next(move, FULL_PERMILLE, RolloutPhase.COMPLETED, status.reason)
-        pace = self._moves.next_step(move, now, self._clock.wall_ms())
-        reason = f"{pace.rule}; {move.controller.latest_result.evidence}"
-        if pace.roll_back:
-            return self._next(move, 0, RolloutPhase.ROLLED_BACK, reason)
-        if pace.completed:
-            return self._next(move, FULL_PERMILLE, RolloutPhase.RUNNING, reason)
-        if pace.share_permille != status.share_permille:
-            return self._next(move, pace.share_permille, RolloutPhase.RUNNING, reason)
+            return self._next_status(rollout, FULL_PERMILLE, RolloutPhase.COMPLETED, status.reason)
+        decision = self._rollouts.next_step(rollout, now, self._clock.wall_ms())
+        reason = f"{decision.rule}; {rollout.controller.latest_result.evidence}"
+        if decision.roll_back:
+            return self._next_status(rollout, 0, RolloutPhase.ROLLED_BACK, reason)
+        if decision.completed:
+            return self._next_status(rollout, FULL_PERMILLE, RolloutPhase.RUNNING, reason)
+        if decision.share_permille != status.share_permille:
+            return self._next_status(rollout, decision.share_permille, RolloutPhase.RUNNING, reason)
         return None
 
-    def _next(self, move: Rollout, share: int, phase: RolloutPhase, reason: str) -> RolloutStatus:
-        if move.status is not None:
+    def _next_status(
+        self, rollout: Rollout, share: int, phase: RolloutPhase, reason: str
+    ) -> RolloutStatus:
+        if rollout.status is not None:
             return replace(
-                move.status,
-                step=move.status.step + 1,
+                rollout.status,
+                step=rollout.status.step + 1,
                 share_permille=share,
                 phase=phase,
                 reason=reason,
                 decided_by=self._own_id,
             )
         now = asyncio.get_running_loop().time()
-        order = move.order
-        stated_at_ms = self._clock.wall_ms() - int((now - move.seen_at) * 1000)
+        order = rollout.order
+        stated_at_ms = self._clock.wall_ms() - int((now - rollout.seen_at) * 1000)
         return RolloutStatus(
             service=order.service,
             to_version=order.to_version,
@@ -176,16 +178,16 @@
             decided_by=self._own_id,
         )
 
-    async def _write(self, move: Rollout, status: RolloutStatus) -> None:
+    async def _write(self, rollout: Rollout, status: RolloutStatus) -> None:
         service = status.service
-        if self._moves.is_recorded(status):
+        if self._rollouts.is_recorded(status):
             self._unwritten.pop(service, None)
             return
         match await self._statuses.write(status):
             case Ok(_):
                 self._unwritten.pop(service, None)
                 now = asyncio.get_running_loop().time()
-                self._moves.apply_status(status, now, recorded=True)
+                self._rollouts.apply_status(status, now, recorded=True)
             case Err(error):
                 self._decisions.event(
                     "move step not written",
@@ -212,16 +214,16 @@
             and (key == self._own_key or not peer.unreachable)
         )
 
-    async def _take_evidence(self, message: t.Any) -> None:
-        self._moves.merge_evidence(
+    async def _on_evidence_report(self, message: t.Any) -> None:
+        self._rollouts.merge_evidence(
             codec.evidence_from_message(message), asyncio.get_running_loop().time()
         )
 
-    async def _take_notice(self, message: t.Any) -> None:
+    async def _on_state_notice(self, message: t.Any) -> None:
         if not message.key.startswith(ROLLOUT_KEY_PREFIX):
             return
         match decode_rollout_status(message.value):
             case Ok(status):
-                self._moves.apply_status(status, asyncio.get_running_loop().time())
+                self._rollouts.apply_status(status, asyncio.get_running_loop().time())
             case Err(reason):
                 self._decisions.event("notice unreadable", key=message.key, reason=reason)
--- a/src/bulrushflow/sidecar/rollouts.py
+++ b/src/bulrushflow/sidecar/rollouts.py
@@ -72,7 +72,7 @@
         limits: ExposureLimits,
     ) -> None:
         self.by_service: dict[str, Rollout] = {}
-        self._book = EvidenceStore(own_id, incarnation)
+        self._evidence = EvidenceStore(own_id, incarnation)
         self._statuses_by_service: dict[str, RolloutStatus] = {}
         self._recorded_by_service: dict[str, int] = {}
         self._decisions = decisions
@@ -85,12 +85,12 @@
 
     def apply_order(self, order: RolloutOrder, now: float) -> None:
         """Take in the operator's order; a later one of the service replaces an earlier one."""
-        held = self.by_service.get(order.service)
-        if held is not None and held.order.order_id >= order.order_id:
+        current = self.by_service.get(order.service)
+        if current is not None and current.order.order_id >= order.order_id:
             return
-        move = Rollout(order, now, self._limits)
-        self.by_service[order.service] = move
-        self._book.retain([m.order.order_id for m in self.by_service.values()])
+        rollout = Rollout(order, now, self._limits)
+        self.by_service[order.service] = rollout
+        self._evidence.retain([m.order.order_id for m in self.by_service.values()])
         self._decisions.event(
             "move ordered",
             service=order.service,
@@ -100,7 +100,7 @@
         )
         status = self._statuses_by_service.get(order.service)
         if status is not None and status.order_id == order.order_id:
-            self._follow(move, status, now)
+            self._set_status(rollout, status, now)
 
     def remove_order(self, service: str) -> None:
         """Take in that the operator's order is gone."""
@@ -117,25 +117,27 @@
             counts, since operators act on it.
         """
         known = self._statuses_by_service.get(status.service)
-        ends = recorded and status.phase is not RolloutPhase.RUNNING
-        ends = ends and not self.is_recorded(status)
-        if ends:
+        newly_recorded_end = recorded and status.phase is not RolloutPhase.RUNNING
+        newly_recorded_end = newly_recorded_end and not self.is_recorded(status)
+        if newly_recorded_end:
             self._recorded_by_service[status.service] = status.order_id
         supersedes = known is None or _supersedes(status, known)
-        if not supersedes and not (ends and known and known.order_id == status.order_id):
+        if not supersedes and not (
+            newly_recorded_end and known and known.order_id == status.order_id
+        ):
             return False
         self._statuses_by_service[status.service] = status
-        move = self.by_service.get(status.service)
-        if move is None or move.order.order_id != status.order_id:
+        rollout = self.by_service.get(status.service)
+        if rollout is None or rollout.order.order_id != status.order_id:
             return False
-        self._follow(move, status, now)
+        self._set_status(rollout, status, now)
         return True
 
-    def _follow(self, move: Rollout, status: RolloutStatus, now: float) -> None:
-        before = move.share_permille
-        move.status = status
-        if move.share_permille != before:
-            move.share_since = now
+    def _set_status(self, rollout: Rollout, status: RolloutStatus, now: float) -> None:
+        before = rollout.share_permille
+        rollout.status = status
+        if rollout.share_permille != before:
+            rollout.share_since = now
         self._decisions.event(
             "move status",
             service=status.service,
@@ -150,20 +152,20 @@
 
     def is_forbidden(self, service: str, version: str) -> bool:
         """Tell whether a version may get no new calls."""
-        move = self.by_service.get(service)
-        if move is None or move.order.to_version != version:
+        rollout = self.by_service.get(service)
+        if rollout is None or rollout.order.to_version != version:
             return False
-        return move.phase is RolloutPhase.ROLLED_BACK
+        return rollout.phase is RolloutPhase.ROLLED_BACK
 
     def filter_peers(self, service: str, peers: t.Sequence[Peer]) -> t.Sequence[Peer]:
         """Leave the peers with the version that one call goes to."""
-        move = self.by_service.get(service)
-        if move is None:
+        rollout = self.by_service.get(service)
+        if rollout is None:
             return peers
-        new = [peer for peer in peers if _version(peer) == move.order.to_version]
-        old = [peer for peer in peers if _version(peer) != move.order.to_version]
-        share = move.share_permille
-        if move.phase is RolloutPhase.ROLLED_BACK or not share:
+        new = [peer for peer in peers if _version(peer) == rollout.order.to_version]
+        old = [peer for peer in peers if _version(peer) != rollout.order.to_version]
+        share = rollout.share_permille
+        if rollout.phase is RolloutPhase.ROLLED_BACK or not share:
             return old
         if share >= FULL_PERMILLE or self._rng.randrange(FULL_PERMILLE) < share:
             return new or old
@@ -171,33 +173,33 @@
 
     def observe_call(self, call: Call, failed: bool, seconds: float, warming: bool) -> None:
         """Count an answer of this node's own target."""
-        move = self.by_service.get(call.service)
-        if move is None or move.phase is not RolloutPhase.RUNNING:
+        rollout = self.by_service.get(call.service)
+        if rollout is None or rollout.phase is not RolloutPhase.RUNNING:
             return
-        version = call.version if call.version == move.order.to_version else OLD_VERSION
-        own = self._book.local(move.order.order_id)
+        version = call.version if call.version == rollout.order.to_version else OLD_VERSION
+        own = self._evidence.local(rollout.order.order_id)
         own.observe(version, call.route, failed, seconds, warming)
 
-    def local_evidence(self, move: Rollout) -> Evidence:
+    def local_evidence(self, rollout: Rollout) -> Evidence:
         """Return what this node's target showed."""
-        return self._book.local(move.order.order_id)
+        return self._evidence.local(rollout.order.order_id)
 
     def merge_evidence(self, evidence: Evidence, now: float) -> None:
         """Take in what another node's target showed."""
-        self._book.merge(evidence, now)
+        self._evidence.merge(evidence, now)
 
-    def update_analysis(self, move: Rollout, now: float) -> str | None:
+    def update_analysis(self, rollout: Rollout, now: float) -> str | None:
         """Judge the new version on all evidence; return why it must be taken back, if it must."""
-        totals = self._book.totals(move.order.order_id)
-        verdict = move.controller.update_analysis(totals, move.share_permille, now)
-        if verdict.outcome is not AnalysisOutcome.FAULTY:
+        totals = self._evidence.totals(rollout.order.order_id)
+        result = rollout.controller.update_analysis(totals, rollout.share_permille, now)
+        if result.outcome is not AnalysisOutcome.FAULTY:
             return None
-        return f"{verdict.rule}: {verdict.evidence}"
+        return f"{result.rule}: {result.evidence}"
 
-    def next_step(self, move: Rollout, now: float, now_ms: int) -> StepDecision:
+    def next_step(self, rollout: Rollout, now: float, now_ms: int) -> StepDecision:
         """Return the next step of a move by the evidence and the time."""
-        elapsed_ms = int(move.elapsed_s(now, now_ms) * 1000)
-        return move.controller.next_step(move.share_permille, elapsed_ms, now)
+        elapsed_ms = int(rollout.elapsed_s(now, now_ms) * 1000)
+        return rollout.controller.next_step(rollout.share_permille, elapsed_ms, now)
 
 
 def _version(peer: Peer) -> str:
--- a/tests/sidecar/test_driver.py
+++ b/tests/sidecar/test_driver.py
@@ -71,7 +71,7 @@
         decisions = DecisionLog()
         rng = random.Random(number)
         self.store = store
-        self.moves = Rollouts(f"n-{number}", 1, decisions, rng, ExposureLimits(0.1, 50))
+        self.rollouts = Rollouts(f"n-{number}", 1, decisions, rng, ExposureLimits(0.1, 50))
         self.links = RecordedLinks()
         directory = self.directory = Directory()
         for other in (1, 2):
@@ -83,7 +83,7 @@
             f"node/{number}",
             f"n-{number}",
             lambda: "statements",
-            self.moves,
+            self.rollouts,
             directory,
             t.cast(t.Any, self.links),
             StatusLog(store, "statuses", self.replica, encode),
@@ -93,18 +93,18 @@
         )
 
     def _take(self, status: RolloutStatus) -> None:
-        self.moves.apply_status(status, 0.0)
+        self.rollouts.apply_status(status, 0.0)
 
     async def read(self) -> None:
         self.replica.offset = len(self.store.records)
         for record in self.store.records:
-            self.moves.apply_status(
+            self.rollouts.apply_status(
                 decode_rollout_status(record.value).unwrap(), 0.0, recorded=True
             )
 
     @property
     def status(self) -> RolloutStatus | None:
-        return self.moves.by_service["statements"].status
+        return self.rollouts.by_service["statements"].status
 
 
 class MoveDriverTests(unittest.IsolatedAsyncioTestCase):
@@ -113,7 +113,7 @@
         self.first, self.second = Node(1, self.store), Node(2, self.store)
         for node in (self.first, self.second):
             await node.read()
-            node.moves.apply_order(ORDER, 0.0)
+            node.rollouts.apply_order(ORDER, 0.0)
 
     async def test_the_first_node_writes_the_first_step_and_the_second_waits(self) -> None:
         await self.second.driver.check()
@@ -130,16 +130,16 @@
 
     async def test_a_faulty_version_is_taken_back_without_the_store(self) -> None:
         await self.first.driver.check()
-        self.first.moves.apply_status(replace(STATUS, step=2), 0.0)
-        move = self.first.moves.by_service["statements"]
+        self.first.rollouts.apply_status(replace(STATUS, step=2), 0.0)
+        rollout = self.first.rollouts.by_service["statements"]
         self.store.unavailable = True
-        self.first.driver.roll_back(move, "more errors than the old version")
-        self.assertTrue(self.first.moves.is_forbidden("statements", "v2"))
+        self.first.driver.roll_back(rollout, "more errors than the old version")
+        self.assertTrue(self.first.rollouts.is_forbidden("statements", "v2"))
         await self.first.driver.check()
         await until(lambda: len(self.first.links.bodies("state_notice")) == 2)
         notices = self.first.links.bodies("state_notice")
         await self.second.links.handlers["state_notice"](notices[0])
-        self.assertTrue(self.second.moves.is_forbidden("statements", "v2"))
+        self.assertTrue(self.second.rollouts.is_forbidden("statements", "v2"))
         self.store.unavailable = False
         await self.first.read()
         await self.first.driver.check()
@@ -148,12 +148,12 @@
 
     async def test_a_version_without_calls_left_is_taken_back_without_the_store(self) -> None:
         await self.first.driver.check()
-        self.first.moves.apply_status(replace(STATUS, step=2), 0.0)
+        self.first.rollouts.apply_status(replace(STATUS, step=2), 0.0)
         self.store.unavailable = True
-        pace = StepDecision(100, "no calls are left that it may get unproved", roll_back=True)
-        with mock.patch.object(Rollouts, "next_step", return_value=pace):
+        decision = StepDecision(100, "no calls are left that it may get unproved", roll_back=True)
+        with mock.patch.object(Rollouts, "next_step", return_value=decision):
             await self.first.driver.check()
-        self.assertTrue(self.first.moves.is_forbidden("statements", "v2"))
+        self.assertTrue(self.first.rollouts.is_forbidden("statements", "v2"))
         await until(lambda: len(self.first.links.bodies("state_notice")) == 2)
 
     async def test_an_end_that_the_store_holds_counts_against_an_own_one(self) -> None:
@@ -161,16 +161,16 @@
             "statements",
             encode_rollout_status(replace(STATUS, step=3, phase=RolloutPhase.COMPLETED)),
         )
-        move = self.first.moves.by_service["statements"]
-        self.first.driver.roll_back(move, "more errors than the old version")
+        rollout = self.first.rollouts.by_service["statements"]
+        self.first.driver.roll_back(rollout, "more errors than the old version")
         await self.first.read()
         await self.first.driver.check()
         self.assertEqual(len(self.store.records), 1)
-        self.assertFalse(self.first.moves.is_forbidden("statements", "v2"))
+        self.assertFalse(self.first.rollouts.is_forbidden("statements", "v2"))
 
     async def test_a_step_tells_the_evidence_that_it_was_taken_on(self) -> None:
-        move = self.first.moves.by_service["statements"]
-        move.seen_at = asyncio.get_running_loop().time() - 2.0
+        rollout = self.first.rollouts.by_service["statements"]
+        rollout.seen_at = asyncio.get_running_loop().time() - 2.0
         await self.first.driver.check()
         await self.first.read()
         await self.first.driver.check()
@@ -183,8 +183,8 @@
         for number in (4, 9):
             last.directory.update(f"node/{number}", peer(number).entry)
         await last.read()
-        last.moves.apply_order(ORDER, 0.0)
-        with mock.patch.object(driver_module, "RANK_WAIT_S", 0.0):
+        last.rollouts.apply_order(ORDER, 0.0)
+        with mock.patch.object(driver_module, "RANK_DELAY_S", 0.0):
             await last.driver.check()
             self.assertEqual(self.store.records, [])
             last.directory.peers_by_key["node/1"].unreachable = True
@@ -197,7 +197,7 @@
         for number in (4, 5, 6):
             directory.update(f"node/{number}", peer(number).entry)
         directory.peers_by_key["node/3"].unreachable = True
-        self.second.moves.observe_call(call(version="v2"), True, 0.1, False)
+        self.second.rollouts.observe_call(call(version="v2"), True, 0.1, False)
         await self.second.driver.check()
         await until(lambda: len(self.second.links.sent) == 2)
         endpoints = [endpoint[0] for endpoint, _ in self.second.links.sent]
@@ -205,7 +205,7 @@
 
     async def test_evidence_goes_to_the_nodes_of_the_service(self) -> None:
         await self.first.driver.check()
-        self.first.moves.observe_call(call(version="v2"), True, 0.1, False)
+        self.first.rollouts.observe_call(call(version="v2"), True, 0.1, False)
         await self.first.driver.check()
         await until(lambda: len(self.first.links.bodies("evidence_report")) == 2)
         report = self.first.links.bodies("evidence_report")[0]
--- a/tests/sidecar/test_rollouts.py
+++ b/tests/sidecar/test_rollouts.py
@@ -20,7 +20,7 @@
 
 class MovesTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.moves = Rollouts("n-1", 1, DecisionLog(), random.Random(3), LIMITS)
+        self.rollouts = Rollouts("n-1", 1, DecisionLog(), random.Random(3), LIMITS)
         self.old = [peer(1), peer(2)]
         self.new = [peer(3, "v2")]
         self.peers = [*self.old, *self.new]
@@ -28,7 +28,7 @@
     def versions(self, count: int = 300) -> set[str]:
         found: set[str] = set()
         for _ in range(count):
-            for chosen in self.moves.filter_peers("statements", self.peers):
+            for chosen in self.rollouts.filter_peers("statements", self.peers):
                 assert chosen.entry.target is not None
                 found.add(chosen.entry.target.version)
         return found
@@ -37,39 +37,41 @@
         self.assertEqual(self.versions(1), {"v1", "v2"})
 
     async def test_an_ordered_version_gets_nothing_before_its_first_step(self) -> None:
-        self.moves.apply_order(ORDER, 0.0)
+        self.rollouts.apply_order(ORDER, 0.0)
         self.assertEqual(self.versions(), {"v1"})
 
     async def test_a_step_gives_the_new_version_its_share(self) -> None:
-        self.moves.apply_order(ORDER, 0.0)
-        self.moves.apply_status(STATUS, 0.0)
+        self.rollouts.apply_order(ORDER, 0.0)
+        self.rollouts.apply_status(STATUS, 0.0)
         self.assertEqual(self.versions(), {"v1", "v2"})
 
     async def test_a_status_that_comes_before_its_order_counts(self) -> None:
-        self.moves.apply_status(replace(STATUS, phase=RolloutPhase.ROLLED_BACK), 0.0)
-        self.moves.apply_order(ORDER, 0.0)
-        self.assertTrue(self.moves.is_forbidden("statements", "v2"))
+        self.rollouts.apply_status(replace(STATUS, phase=RolloutPhase.ROLLED_BACK), 0.0)
+        self.rollouts.apply_order(ORDER, 0.0)
+        self.assertTrue(self.rollouts.is_forbidden("statements", "v2"))
 
     async def test_a_version_taken_back_gets_nothing_whatever_comes_late(self) -> None:
-        self.moves.apply_order(ORDER, 0.0)
-        self.moves.apply_status(replace(STATUS, step=2, phase=RolloutPhase.ROLLED_BACK), 0.0)
-        self.assertFalse(self.moves.apply_status(replace(STATUS, step=3, share_permille=500), 0.0))
+        self.rollouts.apply_order(ORDER, 0.0)
+        self.rollouts.apply_status(replace(STATUS, step=2, phase=RolloutPhase.ROLLED_BACK), 0.0)
+        self.assertFalse(
+            self.rollouts.apply_status(replace(STATUS, step=3, share_permille=500), 0.0)
+        )
         self.assertEqual(self.versions(), {"v1"})
-        self.assertTrue(self.moves.is_forbidden("statements", "v2"))
-        self.assertFalse(self.moves.is_forbidden("statements", "v1"))
+        self.assertTrue(self.rollouts.is_forbidden("statements", "v2"))
+        self.assertFalse(self.rollouts.is_forbidden("statements", "v1"))
 
     async def test_a_finished_move_uses_the_new_version_only(self) -> None:
-        self.moves.apply_order(ORDER, 0.0)
-        self.moves.apply_status(replace(STATUS, step=4, phase=RolloutPhase.COMPLETED), 0.0)
+        self.rollouts.apply_order(ORDER, 0.0)
+        self.rollouts.apply_status(replace(STATUS, step=4, phase=RolloutPhase.COMPLETED), 0.0)
         self.assertEqual(self.versions(), {"v2"})
 
     async def test_a_later_order_replaces_the_one_before(self) -> None:
-        self.moves.apply_order(ORDER, 0.0)
-        self.moves.apply_status(replace(STATUS, phase=RolloutPhase.ROLLED_BACK), 0.0)
-        self.moves.apply_order(replace(ORDER, to_version="v3", order_id=9), 1.0)
-        self.assertFalse(self.moves.is_forbidden("statements", "v2"))
-        self.moves.apply_order(ORDER, 2.0)
-        self.assertEqual(self.moves.by_service["statements"].order.to_version, "v3")
+        self.rollouts.apply_order(ORDER, 0.0)
+        self.rollouts.apply_status(replace(STATUS, phase=RolloutPhase.ROLLED_BACK), 0.0)
+        self.rollouts.apply_order(replace(ORDER, to_version="v3", order_id=9), 1.0)
+        self.assertFalse(self.rollouts.is_forbidden("statements", "v2"))
+        self.rollouts.apply_order(ORDER, 2.0)
+        self.assertEqual(self.rollouts.by_service["statements"].order.to_version, "v3")
 
 
 class ExposureTests(unittest.IsolatedAsyncioTestCase):
@@ -89,44 +91,48 @@
             the share in force.
         """
         rng = random.Random(seed)
-        moves = Rollouts("n-1", 1, DecisionLog(), rng, LIMITS)
+        rollouts = Rollouts("n-1", 1, DecisionLog(), rng, LIMITS)
         order = RolloutOrder("statements", "v2", duration_s, 7)
-        moves.apply_order(order, 0.0)
-        move = moves.by_service["statements"]
-        moves.apply_status(replace(STATUS, share_permille=0), 0.0)
+        rollouts.apply_order(order, 0.0)
+        rollout = rollouts.by_service["statements"]
+        rollouts.apply_status(replace(STATUS, share_permille=0), 0.0)
         new_calls = 0
         steps = round(duration_s / self.STEP_S)
         per_step = round(self.CALLS_PER_S * self.STEP_S)
         answers: list[list[str]] = []
         for i in range(steps):
             now = i * self.STEP_S
-            chosen = ["v2" if self.is_new(moves) else "v1" for _ in range(per_step)]
+            chosen = ["v2" if self.is_new(rollouts) else "v1" for _ in range(per_step)]
             new_calls += chosen.count("v2")
             answers.append(chosen)
             due = i - round(self.LATENCY_S / self.STEP_S)
             for version in answers[due] if due >= 0 else ():
-                bad = bad_share(now, move.share_permille) if version == "v2" else 0.01
-                moves.observe_call(call(version=version), rng.random() < bad, self.LATENCY_S, False)
-            if i % self.CHECK_STEPS == 0 and move.phase is RolloutPhase.RUNNING:
-                self.check(moves, now)
-        return move.phase, new_calls, steps * per_step
-
-    def is_new(self, moves: Rollouts) -> bool:
-        chosen = moves.filter_peers("statements", [peer(1), peer(3, "v2")])
+                bad = bad_share(now, rollout.share_permille) if version == "v2" else 0.01
+                rollouts.observe_call(
+                    call(version=version), rng.random() < bad, self.LATENCY_S, False
+                )
+            if i % self.CHECK_STEPS == 0 and rollout.phase is RolloutPhase.RUNNING:
+                self.check(rollouts, now)
+        return rollout.phase, new_calls, steps * per_step
+
+    def is_new(self, rollouts: Rollouts) -> bool:
+        chosen = rollouts.filter_peers("statements", [peer(1), peer(3, "v2")])
         target = chosen[0].entry.target
         return target is not None and target.version == "v2"
 
-    def check(self, moves: Rollouts, now: float) -> None:
-        move = moves.by_service["statements"]
-        assert move.status is not None
-        taken_back = moves.update_analysis(move, now) is not None
-        pace = moves.next_step(move, now, int(now * 1000))
+    def check(self, rollouts: Rollouts, now: float) -> None:
+        rollout = rollouts.by_service["statements"]
+        assert rollout.status is not None
+        taken_back = rollouts.update_analysis(rollout, now) is not None
+        pace = rollouts.next_step(rollout, now, int(now * 1000))
         phase = RolloutPhase.ROLLED_BACK if taken_back or pace.roll_back else RolloutPhase.RUNNING
         phase = RolloutPhase.COMPLETED if pace.completed else phase
         share = 0 if phase is RolloutPhase.ROLLED_BACK else pace.share_permille
-        step = replace(move.status, step=move.status.step + 1, share_permille=share, phase=phase)
-        if (step.share_permille, phase) != (move.status.share_permille, move.status.phase):
-            moves.apply_status(step, now)
+        step = replace(
+            rollout.status, step=rollout.status.step + 1, share_permille=share, phase=phase
+        )
+        if (step.share_permille, phase) != (rollout.status.share_permille, rollout.status.phase):
+            rollouts.apply_status(step, now)
 
     async def test_a_bad_version_gets_no_more_than_its_share(self) -> None:
         kinds: dict[str, t.Callable[[float, int], float]] = {
