--- a/src/bulrushflow/rollouts/__init__.py
+++ b/src/bulrushflow/rollouts/__init__.py
@@ -1,4 +1,4 @@
-"""Moves between target versions: shared state, evidence, verdict and pace, free of I/O."""
+"""Rollouts of new versions: shared state, evidence, analysis and steps, without I/O."""
 
 from bulrushflow.rollouts.analysis import AnalysisOutcome
 from bulrushflow.rollouts.analysis import AnalysisResult
--- a/src/bulrushflow/rollouts/analysis.py
+++ b/src/bulrushflow/rollouts/analysis.py
@@ -1,4 +1,4 @@
-"""The verdict on a new version, from evidence alone: no clock and no I/O of its own."""
+"""Analysis of a new version from evidence alone, without a clock or I/O."""
 
 import enum
 from dataclasses import dataclass
@@ -9,21 +9,21 @@
 from bulrushflow.rollouts.evidence import VersionRoute
 
 SUSPECT_STRENGTH = 0.65
-"""Strength of a sign of a fault from which the share isn't raised and the move isn't done."""
+"""Strength of a regression signal that prevents raising the share and completing the rollout."""
 UNCLEAR_STRENGTH = 0.4
-"""Strength of a sign of a fault from which more calls are waited for, while there is time."""
+"""Strength of a regression signal from which to wait for more calls while there is time."""
 MIN_STAGE_CALLS = 30
-"""Calls to the new version that a stage needs."""
+"""Calls to the new version that a stage needs for a healthy outcome."""
 MIN_STAGE_ROUTE_CALLS = 8
-"""Calls to the new version that a stage needs on each route with traffic."""
+"""The same on each route with traffic."""
 MIN_ROUTE_TRAFFIC_FRACTION = 0.02
-"""Routes with less of the service's calls aren't waited for."""
+"""Routes with a smaller fraction of the service's calls aren't waited for."""
 
 NO_SIGNAL = RegressionSignal(0.0, "", "")
 
 
 class AnalysisOutcome(enum.Enum):
-    """What the evidence says of the new version."""
+    """Outcome of an analysis of the new version."""
 
     HEALTHY = "healthy"
     INSUFFICIENT = "insufficient evidence"
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AnalysisResult:
-    """A judgement, the rule that gave it and the figures behind it.
+    """Outcome of an analysis, the rule that gave it and the figures behind it.
 
-    ``stage_calls`` are the calls to the new version since the present share began, ``strength`` is
-    that of the strongest sign of a fault, from 0 to 1, and ``stage_strength`` what it was when the
-    share began.
+    ``stage_calls`` is the number of calls to the new version in the current stage, ``strength``
+    that of the strongest regression signal, and ``stage_strength`` its value when the stage began.
+    From a strength of 1 on the version counts as faulty.
     """
 
     outcome: AnalysisOutcome
@@ -49,7 +49,7 @@
 
 
 class CanaryAnalysis:
-    """Compares the new version with the old on each route, over the same windows of time."""
+    """Compares the new version with the old one on each route, over the same time windows."""
 
     __slots__ = (
         "_by_route",
@@ -77,7 +77,7 @@
     def update(
         self, totals: dict[VersionRoute, RouteCounts], share_permille: int, now_s: float
     ) -> AnalysisResult:
-        """Take in the newest totals and return the verdict.
+        """Update with the current totals and return the result.
 
         :param now_s: this node's monotonic clock.
         """
@@ -99,7 +99,7 @@
         return self._result(old_by_route, new_by_route)
 
     def calls_per_s(self, totals: dict[VersionRoute, RouteCounts], now_s: float) -> float:
-        """Return the service's mean rate of calls since this judge began."""
+        """Return the service's mean call rate since the analysis began."""
         calls = sum(counts.calls for counts in totals.values())
         return calls / max(1e-3, now_s - self._started_s)
 
--- a/src/bulrushflow/rollouts/comparison.py
+++ b/src/bulrushflow/rollouts/comparison.py
@@ -1,4 +1,4 @@
-"""The running comparison of two versions on one route, in blocks of calls."""
+"""Compares the calls to the old and the new version on one route, block by block."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -9,30 +9,30 @@
 from bulrushflow.rollouts.sequential import Sample
 
 MIN_BLOCK_S = 0.5
-"""Shortest block; a block also waits for calls to both versions."""
+"""Minimum length of a block, which normally also needs calls to both versions."""
 MAX_BLOCK_S = 5.0
-"""A block with calls to both versions, but few to the old one, is closed after so long."""
+"""A block with calls to both versions is closed after this time, however few the old one had."""
 MAX_ONE_SIDED_BLOCK_S = 20.0
-"""A block without calls to one of the versions is closed after so long."""
+"""A block without calls to one of the versions is closed after this time."""
 MIN_CONTROL_CALLS = 3
-"""Calls to the old version that a block waits for."""
+"""Calls to the old version that close a block before :data:`MAX_BLOCK_S`."""
 HALF_LIFE_S = 30.0
-"""Half-life of what the old version's calls showed, while enough of them are left."""
+"""Half-life of the old version's counts; see :data:`MIN_RETAINED_CALLS`."""
 MIN_RETAINED_CALLS = 400.0
-"""Calls to the old version below which nothing is forgotten."""
+"""The old version's counts are not decayed below this number of calls."""
 MIN_HISTORY_CALLS = 20
-"""Calls to the old version from which its latency is known well enough."""
+"""Calls to the old version that are needed to use its latency quantiles."""
 ERROR_TOLERANCE = 0.005
 SLOW_TOLERANCE = 0.05
 TYPICAL_QUANTILE = 0.5
 TAIL_QUANTILE = 0.95
 SLOW_BUCKET_MARGIN = 1
-"""A call is slow when it lies more than so many buckets above the old version's quantile."""
+"""A call is slow if it is more than this many buckets above the old version's quantile."""
 
 
 @dataclass(slots=True)
 class _History:
-    """Decayed counts of the old version."""
+    """Exponentially decayed counts of the old version."""
 
     calls: float = 0.0
     errors: float = 0.0
@@ -51,7 +51,7 @@
         return (self.errors + 0.05) / (self.calls + 5)
 
     def first_slow_bucket(self, quantile: float) -> int | None:
-        """Return the first bucket that counts as slow; ``None`` while too little is known."""
+        """Return the first bucket that counts as slow, ``None`` if there are too few calls."""
         total = sum(self.latency_buckets)
         if total < MIN_HISTORY_CALLS:
             return None
@@ -68,7 +68,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RegressionSignal:
-    """A sign of a fault: its strength from 0 to 1, its rule, and figures since the move began."""
+    """An indication on one route that the new version is worse than the old one.
+
+    From a ``strength`` of 1 on the new version counts as faulty. ``figures`` are totals since the
+    rollout began.
+    """
 
     strength: float
     rule: str
@@ -76,7 +80,7 @@
 
 
 class RouteComparison:
-    """Errors and slow calls of the new version against the old, block by block."""
+    """Compares errors and slow calls of the new version with those of the old one."""
 
     __slots__ = (
         "_block_started_s",
@@ -99,7 +103,7 @@
         }
 
     def strongest_signal(self) -> RegressionSignal:
-        """Return the strongest sign of a fault."""
+        """Return the strongest regression signal."""
         new, old = self._new, self._old
         slow = max(detector.strength for detector in self._slow.values())
         if self._errors.strength >= slow:
@@ -111,7 +115,7 @@
         return RegressionSignal(slow, "slower than the old version", figures)
 
     def update(self, old: RouteCounts, new: RouteCounts, now_s: float) -> None:
-        """Take in cumulative counts; closes a block when it is due."""
+        """Update with cumulative counts, and close the current block if it is due."""
         age_s = now_s - self._block_started_s
         if age_s < MIN_BLOCK_S:
             return
--- a/src/bulrushflow/rollouts/controller.py
+++ b/src/bulrushflow/rollouts/controller.py
@@ -1,4 +1,4 @@
-"""One node's decisions on one move, from evidence and times given to it."""
+"""One node's analysis and decisions for one rollout; evidence and times are passed in."""
 
 from dataclasses import dataclass
 
@@ -16,21 +16,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutTimes:
-    """When a move was stated and is to finish, in epoch milliseconds."""
+    """Order time and deadline of a rollout in epoch milliseconds."""
 
     stated_at_ms: int
     finish_by_ms: int
 
     @property
     def span_s(self) -> float:
-        """Time from the statement to the deadline in seconds."""
+        """Time from the order to the deadline in seconds."""
         return (self.finish_by_ms - self.stated_at_ms) / 1000
 
 
 class RolloutController:
-    """Judges the new version on every tick, and paces the move where this node drives it.
+    """Analyses the new version, and decides on steps where this node drives the rollout.
 
-    :param limits: bound the calls of a version that isn't proved; ``None`` bounds nothing.
+    :param limits: limit the calls of a version not yet proven healthy; ``None`` means no limit.
     """
 
     __slots__ = (
@@ -64,7 +64,7 @@
     def update_analysis(
         self, totals: dict[VersionRoute, RouteCounts], share_permille: int, now_s: float
     ) -> AnalysisResult:
-        """Judge the newest totals.
+        """Update the analysis with the current totals, and return its result.
 
         :param now_s: this node's monotonic clock.
         """
@@ -76,9 +76,9 @@
         return self.latest_result
 
     def next_step(self, share_permille: int, now_ms: int, now_s: float) -> StepDecision:
-        """Return the next step, for the node that drives the move.
+        """Return the decision on the next step, for the node that drives the rollout.
 
-        :param now_ms: epoch milliseconds, to compare with the deadline.
+        :param now_ms: epoch milliseconds, compared with the deadline.
         """
         schedule = RolloutSchedule(self._times.span_s, self._calls_per_s, self._exposure_budget())
         elapsed_s = (now_ms - self._times.stated_at_ms) / 1000
--- a/src/bulrushflow/rollouts/evidence.py
+++ b/src/bulrushflow/rollouts/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence on a move: what calls to the old and the new version showed, route by route."""
+"""Evidence on a rollout: counts and latencies of both versions' calls by route."""
 
 import bisect
 import typing as t
@@ -6,27 +6,27 @@
 from dataclasses import field
 
 LATENCY_BOUNDS_S: t.Final = tuple(0.001 * 1.5**i for i in range(24))
-"""Upper bounds of the latency sketch's buckets; one more bucket takes what is above."""
+"""Upper bounds of the latency histogram's buckets; one more bucket counts all above."""
 
 MAX_ROUTES = 32
-"""Routes told apart in one node's evidence; the others share one entry."""
+"""Pairs of version and route counted separately by one node; a version's other routes share one."""
 OTHER_ROUTES = "*"
 
 VersionRoute = tuple[str, str]
 Source = tuple[str, int]
-"""A node's id and the incarnation of its process."""
+"""Node id, and incarnation of the node's process."""
 
 
 def empty_buckets() -> list[int]:
-    """Return a latency sketch without calls."""
+    """Return an empty latency histogram."""
     return [0] * (len(LATENCY_BOUNDS_S) + 1)
 
 
 @dataclass(slots=True)
 class RouteCounts:
-    """Cumulative counts for one version on one route.
+    """Cumulative counts of the calls to one version on one route.
 
-    Calls to a target that is warming up count towards calls and errors, not towards latency.
+    Calls to a target that is warming up are left out of the latency fields.
     """
 
     calls: int = 0
@@ -57,9 +57,9 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """One node's cumulative counts for one move; a higher sequence replaces a lower one.
+    """One node's cumulative counts for one rollout; a higher sequence replaces a lower one.
 
-    A node that restarts begins again from nothing under a higher incarnation.
+    A restarted node counts from zero under a higher incarnation.
     """
 
     rollout_id: int
@@ -70,7 +70,7 @@
 
     @property
     def source(self) -> Source:
-        """The node's process that counted."""
+        """The process that counted the calls."""
         return self.node_id, self.incarnation
 
     def observe(
@@ -87,9 +87,9 @@
 
 
 class EvidenceStore:
-    """The newest evidence of each node's process on each move, and when it came.
+    """The newest evidence of each node's process on each rollout, and when it was received.
 
-    What a node counted before it left or restarted stays in the totals.
+    Counts from before a node left or restarted remain in the totals.
     """
 
     __slots__ = ("_last_report_at", "_own_source", "by_rollout")
@@ -100,7 +100,7 @@
         self.by_rollout: dict[int, dict[Source, Evidence]] = {}
 
     def local(self, rollout_id: int) -> Evidence:
-        """Return this process's own evidence, to be added to."""
+        """Return this process's own evidence, which is created if missing."""
         by_source = self.by_rollout.setdefault(rollout_id, {})
         current = by_source.get(self._own_source)
         if current is None:
@@ -110,7 +110,7 @@
         return current
 
     def merge(self, evidence: Evidence, now_s: float = 0.0) -> None:
-        """Take in another node's evidence unless a newer one is held.
+        """Store another node's evidence if it is newer than the stored one.
 
         :param now_s: this node's monotonic clock.
         """
@@ -124,11 +124,11 @@
             by_source[evidence.source] = evidence
 
     def last_report_at(self, rollout_id: int, node_id: str) -> float | None:
-        """Return when a node last reported, on this node's monotonic clock."""
+        """Return when a node last reported, on this node's monotonic clock; ``None`` if never."""
         return self._last_report_at.get((rollout_id, node_id))
 
     def totals(self, rollout_id: int) -> dict[VersionRoute, RouteCounts]:
-        """Return the sum over all nodes."""
+        """Return the counts summed over all nodes."""
         totals: dict[VersionRoute, RouteCounts] = {}
         for evidence in self.by_rollout.get(rollout_id, {}).values():
             for key, counts in evidence.counts_by_version_route.items():
@@ -136,7 +136,7 @@
         return totals
 
     def retain(self, rollout_ids: t.Collection[int]) -> None:
-        """Drop the evidence on finished moves."""
+        """Drop the evidence on all rollouts except these."""
         for rollout_id in list(self.by_rollout):
             if rollout_id not in rollout_ids:
                 del self.by_rollout[rollout_id]
--- a/src/bulrushflow/rollouts/exposure.py
+++ b/src/bulrushflow/rollouts/exposure.py
@@ -1,52 +1,52 @@
-"""Exposure: the calls that a version may get before it is proved, and those it had."""
+"""Limits on the calls that reach a new version before it is proven healthy."""
 
 import math
 from dataclasses import dataclass
 
 SAFETY_FACTOR = 0.9
-"""Part of the bound that is planned with; evidence comes late and rates of calls change."""
+"""Fraction of the limit to plan with, since evidence arrives late and call rates change."""
 STAGES_BEFORE_LAST = 2
-"""Shares before the last one that the calls are divided between."""
+"""Number of stages before the last one that the calls are divided between."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExposureLimits:
-    """Bound on a faulty version's calls between the order and its deadline."""
+    """Limit on a faulty version's calls between the order and its deadline."""
 
     share: float
-    """Part of all calls of the service in that time."""
+    """Fraction of all calls of the service in that time."""
     slack: float
-    """Calls beyond that share."""
+    """Calls allowed beyond that fraction."""
 
     def max_calls(self, calls_per_s: float, span_s: float) -> float:
-        """Return the calls that a move is planned with."""
+        """Return the number of calls that a rollout is planned with."""
         return SAFETY_FACTOR * (self.share * calls_per_s * span_s + self.slack)
 
 
 @dataclass(frozen=True, slots=True)
 class ExposureBudget:
-    """The new version's calls so far, and how many it may get as long as it isn't proved."""
+    """Limit on the new version's calls until it is proven healthy, and the calls so far."""
 
     limit: float = math.inf
     used: int = 0
 
     @property
     def is_bounded(self) -> bool:
-        """Whether there is a limit at all."""
+        """Whether there is a limit."""
         return math.isfinite(self.limit)
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether the version had all calls that one without proof may get."""
+        """Whether the version has had all calls allowed before it is proven healthy."""
         return self.used >= self.limit
 
     def allows(self, calls: float) -> bool:
-        """Tell whether the version may get so many more calls."""
+        """Return whether the limit allows this many further calls."""
         return self.used + calls <= self.limit
 
     def calls_per_stage(self, reserved: float) -> float:
-        """Return the calls for one share before the last.
+        """Return the number of calls for each stage before the last.
 
-        :param reserved: calls that are kept for the last share.
+        :param reserved: calls reserved for the last stage.
         """
         return max(0.0, self.limit - reserved) / STAGES_BEFORE_LAST
--- a/src/bulrushflow/rollouts/sequential.py
+++ b/src/bulrushflow/rollouts/sequential.py
@@ -1,10 +1,10 @@
-"""A sequential test for a change that hits one of two samples.
+"""Sequential test for a change that affects one of two samples.
 
 Each block of calls gives an e-value for "the new version's rate is above the old one's" against
 "both have the same rate, whatever it is in this block" (two-sample e-variables for Bernoulli
-data). Products of e-values are collected by the Shiryaev-Roberts rule, which forgets the time
-before a change. With equal rates the collected value after N blocks exceeds a threshold C at any
-time with a probability of at most N / C.
+data). Products of e-values are accumulated by the Shiryaev-Roberts rule, which forgets the time
+before a change. With equal rates the accumulated value exceeds a threshold C within N blocks
+with a probability of at most N / C.
 """
 
 import math
@@ -12,18 +12,18 @@
 from dataclasses import dataclass
 
 THRESHOLD_HISTORY = 3e3
-"""Collected value against the old version's known rate from which a fault is told."""
+"""Accumulated value against the old version's known rate from which a fault is reported."""
 THRESHOLD_CONTROL = 3e3
-"""Collected value against the old version's calls of the same blocks from which it is told."""
+"""The same threshold against the control: the old version's calls in the same blocks."""
 MAX_CONTROL_LOG_RATIO = math.log(THRESHOLD_CONTROL) / 4
-"""Bound on one block's weight against the old version's calls, since reports of one moment come
-unevenly and one block must not decide alone."""
+"""Bound on one block's log likelihood ratio against the control, since reports on the same period
+arrive unevenly and one block must not decide alone."""
 EFFECTS: t.Final = (0.05, 0.2, 0.6)
-"""Alternatives tested: the part of the good calls that the new version turns bad."""
+"""Alternatives tested: the fraction of the good calls that turn bad with the new version."""
 NO_CONTROL_TOLERANCE = 0.2
-"""Further tolerance where the old version had no calls in a block."""
+"""Additional tolerance where the old version had no calls in a block."""
 MAX_SUM = 3e4
-"""Bound on a collected value, so that what has passed is soon forgotten."""
+"""Bound on an accumulated value, so that past blocks are soon forgotten."""
 MIN_RATE = 0.002
 MAX_RATE = 0.95
 
@@ -55,24 +55,24 @@
 
 
 class ChangeDetector:
-    """Tells when the new version turned worse than the old one.
+    """Detects that the new version has become worse than the old one.
 
-    Two explanations have to be refuted: that the old version's known rate holds for both, and that
-    both have a new rate in common. The first is refuted quickly by few calls; the second only by
-    calls to the old version, so it has the lower threshold of the two.
+    Two null hypotheses have to be rejected: that the old version's known rate holds for both, and
+    that both share a new rate. Few calls suffice to reject the first; the second can only be
+    rejected with calls to the old version.
     """
 
     __slots__ = ("_against_control", "_against_history", "_tolerance")
 
     def __init__(self, tolerance: float) -> None:
-        """:param tolerance: part of calls by which the new version may be worse."""
+        """:param tolerance: fraction of calls by which the new version may be worse."""
         self._tolerance = tolerance
         self._against_history = _ShiryaevRobertsSums(math.log(THRESHOLD_HISTORY))
         self._against_control = _ShiryaevRobertsSums(MAX_CONTROL_LOG_RATIO)
 
     @property
     def strength(self) -> float:
-        """How far the evidence has come, from 0 to 1 and above; at 1 the new version is faulty."""
+        """Strength of the evidence, 0 or more; from 1 on the new version counts as faulty."""
         history = math.log(max(1.0, self._against_history.value)) / math.log(THRESHOLD_HISTORY)
         control = math.log(max(1.0, self._against_control.value)) / math.log(THRESHOLD_CONTROL)
         return min(history, control)
@@ -80,7 +80,7 @@
     def add(self, old: Sample, new: Sample, expected: float) -> None:
         """Add a block.
 
-        :param expected: the old version's rate as known before the block.
+        :param expected: the old version's rate of bad calls before the block.
         """
         self._add_history(new, expected)
         if old.calls:
@@ -97,7 +97,7 @@
 
     def _add_control(self, old: Sample, new: Sample, expected: float) -> None:
         old_rate = _clamp(expected + self._tolerance)
-        # Equal but for the tolerance counts as equal.
+        # A difference within the tolerance counts as none.
         bad = old.bad + self._tolerance * (old.calls - old.bad)
         for i, effect in enumerate(EFFECTS):
             new_rate = _clamp(old_rate + effect * (1 - old_rate))
--- a/src/bulrushflow/rollouts/shared.py
+++ b/src/bulrushflow/rollouts/shared.py
@@ -1,11 +1,11 @@
-"""The state of moves that nodes share: a join-semilattice, so order and repeats don't matter."""
+"""Shared state of rollouts: a join-semilattice, so order and duplicates don't matter."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class SharedRollout:
-    """How far a move has gone. The share only grows, and a take-back is final."""
+    """Progress of one rollout. The traffic share only grows, and a rollback is final."""
 
     offset: int
     share_permille: int = 0
@@ -14,7 +14,7 @@
     decided_by: str = ""
 
     def join(self, other: "SharedRollout") -> "SharedRollout":
-        """Return the least state that includes both."""
+        """Return the least upper bound of both states."""
         rolled_back = self.rolled_back or other.rolled_back
         rollbacks = [m for m in (self, other) if m.rolled_back]
         first = min(rollbacks, key=lambda m: (m.reason, m.decided_by)) if rollbacks else self
@@ -28,7 +28,7 @@
 
 
 class SharedRollouts:
-    """This node's view of the shared state of all active moves."""
+    """This node's view of the shared state of all active rollouts."""
 
     __slots__ = ("_active", "_version", "by_offset")
 
@@ -40,8 +40,8 @@
     def merge(self, state: SharedRollout) -> bool:
         """Join a state into the view; return whether that changed it.
 
-        A move that is final in the configuration held is passed over, or peers that lag would
-        bring it back.
+        A rollout that is final in this node's configuration is ignored; otherwise lagging peers
+        would restore it.
         """
         if state.offset <= self._version and state.offset not in self._active:
             return False
@@ -53,19 +53,19 @@
         return True
 
     def share_permille(self, offset: int) -> int:
-        """Return the share of calls for the new version: 0 when unknown or taken back."""
+        """Return the new version's traffic share, 0 if unknown or rolled back."""
         current = self.by_offset.get(offset)
         if current is None or current.rolled_back:
             return 0
         return current.share_permille
 
     def is_rolled_back(self, offset: int) -> bool:
-        """Tell whether any node took the move back."""
+        """Return whether any node rolled the version back."""
         current = self.by_offset.get(offset)
         return current is not None and current.rolled_back
 
     def keep_active(self, offsets: frozenset[int], version: int) -> None:
-        """Drop the moves that are final in configuration ``version``."""
+        """Drop the rollouts that are final in configuration ``version``."""
         self._active = offsets
         self._version = version
         for offset in list(self.by_offset):
--- a/src/bulrushflow/rollouts/steps.py
+++ b/src/bulrushflow/rollouts/steps.py
@@ -1,4 +1,4 @@
-"""The pace of a move: which share of calls the new version may have now."""
+"""Decides on the next step of a rollout: raise the traffic share, complete, roll back or wait."""
 
 import math
 from dataclasses import dataclass
@@ -17,18 +17,18 @@
 
 MAX_FIRST_PERMILLE = 250
 FIRST_STAGE_CALLS = 30
-"""Calls that the first share should bring within its time."""
+"""Calls to the new version that the first stage should yield."""
 MIN_STEP_CALLS = 3
-"""Calls to the new version without which no share is raised, whatever the deadline."""
+"""Minimum calls to the new version in a stage before the next step, even at the deadline."""
 FIRST_SHARE_STEP_FACTOR = 0.9
-"""Step between the first shares that are weighed."""
+"""Ratio between successive candidates for the first traffic share."""
 STAGE_OVERRUN_FRACTION = 0.5
-"""Part of a stage's time by which it may run over to wait for calls."""
+"""Fraction of its planned time by which a stage may overrun to wait for calls."""
 
 
 @dataclass(frozen=True, slots=True)
 class StepDecision:
-    """The share that a move may be at, whether it ends here, and whether its deadline is at risk.
+    """The allowed traffic share, whether the rollout ends, and whether its deadline is at risk.
 
     At most one of ``completed`` and ``roll_back`` is true.
     """
@@ -47,10 +47,10 @@
     now_s: float,
     stage_s: float,
 ) -> StepDecision:
-    """Return the next step of a move; the share stays where the evidence doesn't allow more.
+    """Return the next step; the traffic share stays unless the evidence allows a higher one.
 
-    :param now_s: seconds since the move was stated.
-    :param stage_s: seconds for which the present share has been in force.
+    :param now_s: seconds since the rollout was ordered.
+    :param stage_s: seconds since the current traffic share came into force.
     """
     if result.outcome is AnalysisOutcome.FAULTY:
         return StepDecision(share_permille, result.rule, roll_back=True)
@@ -73,7 +73,7 @@
 
 
 def first_permille(schedule: RolloutSchedule, stage_s: float) -> int:
-    """Return the first share: higher where few calls would take too long to tell anything."""
+    """Return the first traffic share, higher where few calls would yield evidence too slowly."""
     wanted = 1000 * FIRST_STAGE_CALLS / max(1e-6, schedule.calls_per_s * stage_s)
     return max(STAGES_PERMILLE[0], min(MAX_FIRST_PERMILLE, math.ceil(wanted)))
 
@@ -101,7 +101,7 @@
     stage_s: float,
 ) -> StepDecision:
     stages = schedule.stages_above(share_permille)
-    # The time of the present share is part of what is divided, so that a late start is made up.
+    # The elapsed time of the current stage is divided as well, to make up for a late start.
     planned_stage_s = schedule.planned_stage_s(stages, schedule.bake_start_s - now_s + stage_s)
     if stage_s < planned_stage_s and not _is_last_chance(
         schedule, share_permille, stages[0], stage_s
@@ -119,10 +119,10 @@
         )
         if not overdue or result.stage_calls < MIN_STEP_CALLS:
             return StepDecision(share_permille, result.rule, at_risk=stage_s > 2 * planned_stage_s)
-        # On few calls no share is left out, however late it is.
+        # With few calls no stage is skipped, however late the rollout is.
         rule = f"{result.rule}, but the deadline allows no longer wait"
         return _raise_within_exposure(schedule, share_permille, stages[0], rule)
-    # The bake time gives way before any share is left out.
+    # The bake time is shortened before any stage is skipped.
     left_s = schedule.finish_by_s - schedule.margin_s - max(MIN_BAKE_S, schedule.bake_s / 2) - now_s
     return _raise_within_exposure(schedule, share_permille, _next_stage(stages, left_s), rule)
 
@@ -130,14 +130,14 @@
 def _is_exposure_exhausted(
     schedule: RolloutSchedule, share_permille: int, result: AnalysisResult
 ) -> bool:
-    """Tell whether the version had as many calls as it may get with what is known of it."""
+    """Return whether the version has had all calls that the current evidence allows."""
     unclear = result.strength >= UNCLEAR_STRENGTH
     if schedule.exposure.is_exhausted:
-        # Below the last share it can't be raised any more either.
+        # Below the last stage the traffic share can't be raised any more either.
         return unclear or share_permille < MIN_LAST_PERMILLE
     if not unclear:
         return False
-    # A sign that was there before this share and fades is no fault that shows at this share.
+    # A weakening signal from before this stage is no fault that appears at this traffic share.
     grows = result.strength > result.stage_strength
     return grows and not schedule.exposure.allows(schedule.calls_before_rollback(share_permille))
 
@@ -145,7 +145,7 @@
 def _is_last_chance(
     schedule: RolloutSchedule, share_permille: int, raised_permille: int, stage_s: float
 ) -> bool:
-    """Tell whether the present share's calls would soon forbid a higher one."""
+    """Return whether further calls at this traffic share would soon rule out a higher one."""
     if stage_s < MIN_STAGE_S or not schedule.exposure.is_bounded:
         return False
     calls = schedule.calls_before_rollback(share_permille) + schedule.calls_before_rollback(
@@ -157,7 +157,7 @@
 def _raise_within_exposure(
     schedule: RolloutSchedule, share_permille: int, raised_permille: int, rule: str
 ) -> StepDecision:
-    """Raise the share, unless a fault that shows only there would hit too many calls."""
+    """Raise the traffic share, unless a fault that appears there would affect too many calls."""
     if schedule.exposure.allows(schedule.calls_before_rollback(raised_permille)):
         return StepDecision(raised_permille, rule)
     rule = f"{rule}, but {raised_permille / 10:g}% would bring too many calls if it is faulty"
@@ -165,7 +165,7 @@
 
 
 def _next_stage(stages: list[int], left_s: float) -> int:
-    """Return the next share; some are left out when the time doesn't do for all."""
+    """Return the next traffic share, skipping stages if there isn't time for all."""
     possible = max(1, int(left_s / MIN_STAGE_S) + 1)
     step = math.ceil(len(stages) / possible)
     return stages[min(step, len(stages)) - 1]
@@ -178,7 +178,7 @@
     now_s: float,
     stage_s: float,
 ) -> StepDecision:
-    # A move that has baked is done even when the log takes its record only after the deadline.
+    # A baked rollout completes even if the log takes its record only after the deadline.
     if stage_s >= schedule.bake_s and result.outcome is AnalysisOutcome.HEALTHY:
         return StepDecision(share_permille, "bake time at the last share is over", completed=True)
     end_s = schedule.finish_by_s - schedule.margin_s
@@ -187,7 +187,7 @@
         if result.outcome is AnalysisOutcome.SUSPECT:
             rule = f"held: {result.rule}"
         return StepDecision(share_permille, rule)
-    # The fewer the calls, the less of a sign of a fault is let pass.
+    # The fewer the calls, the weaker a regression signal has to be to be tolerated.
     few = result.stage_calls < MIN_STAGE_CALLS
     limit = UNCLEAR_STRENGTH if few else SUSPECT_STRENGTH
     enough = stage_s >= MIN_BAKE_S and result.stage_calls >= MIN_STEP_CALLS
--- a/src/bulrushflow/rollouts/versions.py
+++ b/src/bulrushflow/rollouts/versions.py
@@ -1,4 +1,4 @@
-"""Which versions of a service may get new calls, as this node knows it."""
+"""Versions of each service that may receive new calls, as known to this node."""
 
 import typing as t
 
@@ -7,11 +7,11 @@
 from bulrushflow.configuration import RolloutStatus
 
 GRACE_S = 10.0
-"""Time for which a replaced version still takes calls of nodes that lag."""
+"""Time for which a replaced version still accepts calls from lagging nodes."""
 
 
 class VersionFilter:
-    """Follows the configuration and tells the versions that may get no new calls."""
+    """Determines from the configuration which versions may receive no new calls."""
 
     __slots__ = (
         "_abandoned_by_service",
@@ -21,14 +21,14 @@
     )
 
     def __init__(self) -> None:
-        # Asked for each call, so worked out once for each configuration.
+        # Read for each call, so computed once for each configuration.
         self.active_rollout_by_service: dict[str, Rollout] = {}
         self._abandoned_by_service: dict[str, str] = {}
         self._stable_by_service: dict[str, str] = {}
         self._replaced_at: dict[tuple[str, str], float] = {}
 
     def update(self, configuration: Configuration, now_s: float) -> None:
-        """Take in a new configuration.
+        """Apply a new configuration.
 
         :param now_s: this node's monotonic clock.
         """
@@ -53,13 +53,13 @@
         is_rolled_back: t.Callable[[int], bool],
         now_s: float,
     ) -> bool:
-        """Tell whether a version may get no new calls.
+        """Return whether a version may receive no new calls.
 
-        Only the stable version, the version of an active move that isn't taken back and, for a
-        short while, the version that was stable before may. A service that isn't known here is
-        left to the check of routes.
+        Allowed are the stable version, the version of an active rollout that isn't rolled back and,
+        for :data:`GRACE_S`, the previous stable version. A service unknown to this node is left
+        to the check of routes.
 
-        :param is_rolled_back: tells by a move's offset whether any node took it back.
+        :param is_rolled_back: returns whether any node rolled back the rollout at an offset.
         """
         stable = self._stable_by_service.get(service)
         if stable is None or version == stable:
@@ -74,7 +74,7 @@
 
 
 def _abandoned_by_service(configuration: Configuration) -> dict[str, str]:
-    """Return the versions whose move, the newest of their service, ended without them."""
+    """Return by service the version of its newest finished rollout, if that wasn't completed."""
     newest_by_service: dict[str, Rollout] = {}
     for rollout in configuration.moves_by_id.values():
         newest = newest_by_service.get(rollout.service)
--- a/src/bulrushflow/rollouts/warmup.py
+++ b/src/bulrushflow/rollouts/warmup.py
@@ -1,11 +1,11 @@
-"""The warm-up of a target, in which slow calls tell nothing about its version."""
+"""Warm-up of a target, during which slow calls are no evidence against its version."""
 
 WARM_UP_S = 10.0
 WARM_UP_CALLS = 5
 
 
 class WarmUp:
-    """Tells whether this node's own target is still warming up.
+    """Tracks whether this node's own target is still warming up.
 
     A target is warm :data:`WARM_UP_S` after its first call and after :data:`WARM_UP_CALLS` calls,
     whichever is later. Errors count from the first call on.
@@ -19,7 +19,7 @@
         self._calls = 0
 
     def set_version(self, version: str | None) -> None:
-        """Note the version of the target that is ready now, ``None`` when there is none."""
+        """Set the version of the ready target, ``None`` if no target is ready."""
         if version == self._version:
             return
         self._version = version
@@ -27,7 +27,7 @@
         self._calls = 0
 
     def count_call(self, now_s: float) -> bool:
-        """Count one call and tell whether it came during the warm-up.
+        """Count one call and return whether it fell into the warm-up.
 
         :param now_s: this node's monotonic clock.
         """
