--- a/src/bulrushflow/sidecar/driver.py
+++ b/src/bulrushflow/sidecar/driver.py
@@ -1,9 +1,9 @@
-"""Drives moves: spreads evidence, takes faulty versions back, writes each step to the store.
+"""Drives rollouts: sends evidence, rolls faulty versions back, writes each step to the store.
 
-The first few nodes beside targets of the service get all evidence, judge by it and take the steps;
-the others only take a version back that their own target shows to be faulty, and follow those that
-can't be reached. Steps are conditional on all earlier ones, so two drivers, or one that wakes late,
-can't overwrite each other.
+The first few reachable nodes with targets of the service receive all evidence, analyse it and
+take the steps. The others only roll back a version that their own target shows to be faulty, and
+replace nodes that become unreachable. A step is written only if all earlier ones were read, so
+two drivers, or one that was paused, can't overwrite each other.
 """
 
 import asyncio
@@ -32,15 +32,15 @@
 
 CHECK_PERIOD_S = 0.25
 ANALYSIS_NODES = 3
-"""Nodes that get all evidence; more of them would only cost messages."""
+"""Number of nodes that receive all evidence; more of them would only cost messages."""
 RANK_DELAY_S = 1.2
-"""Wait of each further node for the ones before it to take a step that is due."""
+"""Time that each further node allows the ones before it to take a due step."""
 DRAIN_S = 1.8
-"""Time without new calls after which the old version has answered what it had."""
+"""Time without new calls after which the old version has answered all earlier ones."""
 
 
 class RolloutDriver:
-    """Judges and paces the moves of this node's service."""
+    """Analyses and advances the rollouts of this node's service."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._clock = clock
         self._decisions = decisions
         self._due: tuple[tuple[int, int], float] | None = None
-        """Order and step that are due, and since when."""
+        """Order id and number of the due step, and since when it is due."""
         self._sending: set[asyncio.Task[None]] = set()
         self._unwritten: dict[str, RolloutStatus] = {}
         links.handle("evidence_report", self._on_evidence_report)
@@ -73,7 +73,7 @@
         timers.subscribe("moves", CHECK_PERIOD_S, self.check)
 
     async def check(self) -> None:
-        """Look after this service's move once."""
+        """Check the rollout of this node's service once."""
         rollout = self._rollouts.by_service.get(self._own_service())
         if rollout is None:
             return
@@ -96,7 +96,7 @@
             self._send(self._drivers()[:ANALYSIS_NODES], evidence_report=message)
 
     def _send(self, keys: t.Iterable[str], **body: t.Any) -> None:
-        """Send to the other ones of some nodes; nothing waits for them."""
+        """Send a message to all these nodes except this one, without waiting."""
         for key in keys:
             if key == self._own_key:
                 continue
@@ -106,14 +106,14 @@
             sending.add_done_callback(self._sending.discard)
 
     def roll_back(self, rollout: Rollout, reason: str) -> None:
-        """Take a version back here and on every node that can be reached, then record it."""
+        """Roll a version back here and on every reachable node; :meth:`check` records it."""
         status = self._next_status(rollout, 0, RolloutPhase.ROLLED_BACK, reason)
         self._rollouts.apply_status(status, asyncio.get_running_loop().time())
         self._unwritten[rollout.order.service] = status
         notice = messages.StateNotice(
             key=ROLLOUT_KEY_PREFIX + rollout.order.service, value=encode_rollout_status(status)
         )
-        # No take-back may wait for the store, or for a node that doesn't answer.
+        # A rollback must not wait for the store, or for a node that doesn't respond.
         self._send(self._directory.peers_by_key, state_notice=notice)
 
     async def _advance(self, rollout: Rollout, now: float) -> None:
@@ -124,7 +124,7 @@
         if self._due is None or self._due[0] != key:
             self._due = (key, now)
         rank = self._rank()
-        # The others have their own evidence only, which is none to raise a share by.
+        # Other nodes have their own evidence only, which doesn't suffice to raise the share.
         if rank >= ANALYSIS_NODES or now - self._due[1] < rank * RANK_DELAY_S:
             return
         if step.phase is RolloutPhase.ROLLED_BACK:
@@ -199,12 +199,12 @@
                 )
 
     def _rank(self) -> int:
-        """Return how many nodes of the service come before this one as drivers."""
+        """Return how many nodes of the service precede this one as drivers."""
         keys = self._drivers()
         return keys.index(self._own_key) if self._own_key in keys else len(keys)
 
     def _drivers(self) -> list[str]:
-        """Return the keys of the service's nodes that can be reached, in order of their turn."""
+        """Return the keys of the service's reachable nodes in driver order."""
         service = self._own_service()
         return sorted(
             key
--- a/src/bulrushflow/sidecar/rollouts.py
+++ b/src/bulrushflow/sidecar/rollouts.py
@@ -1,4 +1,4 @@
-"""Moves of traffic between two versions: what every node holds, judges and follows."""
+"""Rollouts as each node tracks them: order, status, evidence, and the version for each call."""
 
 import random
 import typing as t
@@ -19,13 +19,13 @@
 
 FULL_PERMILLE = 1000
 FINISH_MARGIN_S = 2.5
-"""Time kept before the deadline, in which the last calls at the old version end."""
+"""Time reserved before the deadline for the last calls at the old version to end."""
 OLD_VERSION = "old"
 """Stands for every other version of the service in the evidence."""
 
 
 class Rollout:
-    """One order, its status, and this node's judgement on it."""
+    """One order, its status, and this node's analysis of the new version."""
 
     __slots__ = ("controller", "order", "seen_at", "share_since", "status")
 
@@ -39,18 +39,18 @@
 
     @property
     def phase(self) -> RolloutPhase:
-        """Where the move stands, as far as this node knows."""
+        """Phase of the rollout as known to this node."""
         return self.status.phase if self.status is not None else RolloutPhase.RUNNING
 
     @property
     def share_permille(self) -> int:
-        """Share of the calls that go to the new version."""
+        """Traffic share of the new version."""
         if self.status is None or self.phase is RolloutPhase.ROLLED_BACK:
             return 0
         return FULL_PERMILLE if self.phase is RolloutPhase.COMPLETED else self.status.share_permille
 
     def elapsed_s(self, now: float, now_ms: int) -> float:
-        """Return the seconds since the order, on this node's own clock where it saw the order."""
+        """Return the seconds since the order, as this node saw it or, if longer, by its status."""
         own_s = now - self.seen_at
         if self.status is None:
             return own_s
@@ -58,9 +58,9 @@
 
 
 class Rollouts:
-    """The moves by service.
+    """The newest rollout of each service.
 
-    :param limits: bound the calls of a version that isn't proved.
+    :param limits: limit the calls of a version not yet proven healthy.
     """
 
     def __init__(
@@ -80,11 +80,11 @@
         self._limits = limits
 
     def configure(self, limits: ExposureLimits) -> None:
-        """Put other limits in force, for orders from now on."""
+        """Set the limits for orders from now on."""
         self._limits = limits
 
     def apply_order(self, order: RolloutOrder, now: float) -> None:
-        """Take in the operator's order; a later one of the service replaces an earlier one."""
+        """Apply the operator's order; a later one for a service replaces an earlier one."""
         current = self.by_service.get(order.service)
         if current is not None and current.order.order_id >= order.order_id:
             return
@@ -103,18 +103,18 @@
             self._set_status(rollout, status, now)
 
     def remove_order(self, service: str) -> None:
-        """Take in that the operator's order is gone."""
+        """Remove the order that the operator withdrew."""
         self.by_service.pop(service, None)
 
     def is_recorded(self, status: RolloutStatus) -> bool:
-        """Tell whether the store holds an end of the status's order already."""
+        """Return whether the store already has a final status of the same order."""
         return self._recorded_by_service.get(status.service) == status.order_id
 
     def apply_status(self, status: RolloutStatus, now: float, recorded: bool = False) -> bool:
-        """Take in a status; ``False`` when it says nothing new.
+        """Apply a status; return whether the rollout changed.
 
-        :param recorded: whether the store holds it. Of two ends of one order the recorded one
-            counts, since operators act on it.
+        :param recorded: whether the store has it. Of two final statuses of one order the recorded
+            one takes precedence, since operators act on it.
         """
         known = self._statuses_by_service.get(status.service)
         newly_recorded_end = recorded and status.phase is not RolloutPhase.RUNNING
@@ -151,14 +151,14 @@
         )
 
     def is_forbidden(self, service: str, version: str) -> bool:
-        """Tell whether a version may get no new calls."""
+        """Return whether a version may receive no new calls."""
         rollout = self.by_service.get(service)
         if rollout is None or rollout.order.to_version != version:
             return False
         return rollout.phase is RolloutPhase.ROLLED_BACK
 
     def filter_peers(self, service: str, peers: t.Sequence[Peer]) -> t.Sequence[Peer]:
-        """Leave the peers with the version that one call goes to."""
+        """Choose one call's version by the traffic share and return the peers that run it."""
         rollout = self.by_service.get(service)
         if rollout is None:
             return peers
@@ -172,7 +172,7 @@
         return old or new
 
     def observe_call(self, call: Call, failed: bool, seconds: float, warming: bool) -> None:
-        """Count an answer of this node's own target."""
+        """Count a response of this node's own target."""
         rollout = self.by_service.get(call.service)
         if rollout is None or rollout.phase is not RolloutPhase.RUNNING:
             return
@@ -181,15 +181,15 @@
         own.observe(version, call.route, failed, seconds, warming)
 
     def local_evidence(self, rollout: Rollout) -> Evidence:
-        """Return what this node's target showed."""
+        """Return the evidence from this node's own target."""
         return self._evidence.local(rollout.order.order_id)
 
     def merge_evidence(self, evidence: Evidence, now: float) -> None:
-        """Take in what another node's target showed."""
+        """Merge the evidence from another node's target."""
         self._evidence.merge(evidence, now)
 
     def update_analysis(self, rollout: Rollout, now: float) -> str | None:
-        """Judge the new version on all evidence; return why it must be taken back, if it must."""
+        """Analyse all evidence; return the reason for a rollback, ``None`` if there is none."""
         totals = self._evidence.totals(rollout.order.order_id)
         result = rollout.controller.update_analysis(totals, rollout.share_permille, now)
         if result.outcome is not AnalysisOutcome.FAULTY:
@@ -197,7 +197,7 @@
         return f"{result.rule}: {result.evidence}"
 
     def next_step(self, rollout: Rollout, now: float, now_ms: int) -> StepDecision:
-        """Return the next step of a move by the evidence and the time."""
+        """Return the decision on the next step."""
         elapsed_ms = int(rollout.elapsed_s(now, now_ms) * 1000)
         return rollout.controller.next_step(rollout.share_permille, elapsed_ms, now)
 
--- a/src/bulrushflow/sidecar/statuses.py
+++ b/src/bulrushflow/sidecar/statuses.py
@@ -1,4 +1,4 @@
-"""The moves' statuses in the store, written step by step."""
+"""Writes the statuses of rollouts to the store."""
 
 import typing as t
 
@@ -14,10 +14,10 @@
 
 
 class StatusLog:
-    """Writes a status only where this node has read all that was written before.
+    """Writes a status only if this node has read all earlier records of the topic.
 
-    :param replica: follows the topic that statuses are written to.
-    :param encode: encodes a status as the store's record.
+    :param replica: reads the topic that statuses are written to.
+    :param encode: encodes a status as a record of the store.
     """
 
     __slots__ = ("_encode", "_replica", "_store", "_topic")
@@ -30,9 +30,9 @@
 
     @property
     def offset(self) -> int | None:
-        """How far this node has read."""
+        """Offset up to which this node has read the topic."""
         return self._replica.offset
 
     async def write(self, status: RolloutStatus) -> Result[int, StoreError]:
-        """Append a status, unless something was written that this node has not read."""
+        """Append a status; fails if the topic has records that this node has not read."""
         return await self._store.append(self._topic, [self._encode(status)], self.offset)
