--- a/tests/rollouts/samples.py
+++ b/tests/rollouts/samples.py
@@ -13,7 +13,7 @@
 
 @dataclass
 class Totals:
-    """Counts that grow step by step, with evenly spread outcomes and so no chance in them."""
+    """Counts that grow step by step, with evenly spread outcomes so that no chance is involved."""
 
     counts: dict[VersionRoute, RouteCounts] = field(default_factory=dict)
 
--- a/tests/rollouts/test_analysis.py
+++ b/tests/rollouts/test_analysis.py
@@ -1,4 +1,4 @@
-"""Tests of the verdict on a new version."""
+"""Tests of the analysis of a new version."""
 
 import typing as t
 import unittest
@@ -12,7 +12,7 @@
 Step = t.Callable[[Totals], None]
 
 
-def quiet(totals: Totals) -> None:
+def no_faults(totals: Totals) -> None:
     totals.add(OLD, 50)
     totals.add(NEW, 10)
 
@@ -38,7 +38,7 @@
 
 
 def one_route_fails(totals: Totals) -> None:
-    quiet(totals)
+    no_faults(totals)
     totals.add(OLD, 5, route="/yearly")
     totals.add(NEW, 1, errors=1, route="/yearly")
 
@@ -62,70 +62,70 @@
 
 
 def run_steps(*steps: tuple[Step, int]) -> tuple[AnalysisOutcome, str, int]:
-    """Judge after each half second; stop at a fault. Also return the half seconds gone."""
-    judge = CanaryAnalysis(OLD, NEW, 0.0)
+    """Analyse every half second until a fault is found; also return the number of half seconds."""
+    analysis = CanaryAnalysis(OLD, NEW, 0.0)
     totals = Totals()
     tick = 0
     for step, count in steps:
         for _ in range(count):
             tick += 1
             step(totals)
-            verdict = judge.update(totals.counts, 100, tick / 2)
-            if verdict.outcome is AnalysisOutcome.FAULTY:
-                return verdict.outcome, verdict.rule, tick
-    return verdict.outcome, verdict.rule, tick
+            result = analysis.update(totals.counts, 100, tick / 2)
+            if result.outcome is AnalysisOutcome.FAULTY:
+                return result.outcome, result.rule, tick
+    return result.outcome, result.rule, tick
 
 
-class VerdictTests(unittest.TestCase):
-    def test_faults_of_the_new_version_alone_are_told(self) -> None:
+class CanaryAnalysisTests(unittest.TestCase):
+    def test_faults_of_the_new_version_alone_are_detected(self) -> None:
         cases: dict[str, tuple[tuple[tuple[Step, int], ...], str]] = {
             "at once": (((new_fails, 20),), "errors"),
-            "later": (((quiet, 600), (new_fails, 20)), "errors"),
+            "later": (((no_faults, 600), (new_fails, 20)), "errors"),
             "slow": (((new_slows, 20),), "slower"),
-            "slow later": (((quiet, 600), (new_slows, 20)), "slower"),
-            "one route": (((quiet, 10), (one_route_fails, 60)), "errors"),
+            "slow later": (((no_faults, 600), (new_slows, 20)), "slower"),
+            "one route": (((no_faults, 10), (one_route_fails, 60)), "errors"),
             "cold and failing": (((new_is_cold_and_fails, 20),), "errors"),
-            "without control": (((quiet, 60), (fails_without_old_calls, 400)), "errors"),
+            "without control": (((no_faults, 60), (fails_without_old_calls, 400)), "errors"),
         }
         for name, (steps, rule) in cases.items():
             with self.subTest(name):
-                judgement, found, _ = run_steps(*steps)
-                self.assertIs(judgement, AnalysisOutcome.FAULTY)
+                outcome, found, _ = run_steps(*steps)
+                self.assertIs(outcome, AnalysisOutcome.FAULTY)
                 self.assertIn(rule, found)
 
-    def test_a_fault_that_begins_late_is_told_as_soon_as_an_early_one(self) -> None:
-        _, _, early = run_steps((quiet, 20), (new_fails, 40))
-        _, _, late = run_steps((quiet, 2000), (new_fails, 40))
+    def test_a_late_fault_is_detected_as_fast_as_an_early_one(self) -> None:
+        _, _, early = run_steps((no_faults, 20), (new_fails, 40))
+        _, _, late = run_steps((no_faults, 2000), (new_fails, 40))
         self.assertLessEqual(late - 2000, early - 20 + 1)
 
-    def test_what_hits_both_or_belongs_to_a_start_is_not_held_against_the_new_version(self) -> None:
+    def test_common_faults_and_slow_warm_up_leave_the_new_version_healthy(self) -> None:
         cases: dict[str, tuple[tuple[Step, int], ...]] = {
-            "quiet": ((quiet, 400),),
-            "both fail": ((quiet, 60), (both_fail, 60), (quiet, 60)),
-            "both slow": ((quiet, 60), (both_slow, 60), (quiet, 60)),
-            "cold": ((new_is_cold, 20), (quiet, 60)),
-            "no control": ((quiet, 60), (without_old_calls, 60)),
+            "no faults": ((no_faults, 400),),
+            "both fail": ((no_faults, 60), (both_fail, 60), (no_faults, 60)),
+            "both slow": ((no_faults, 60), (both_slow, 60), (no_faults, 60)),
+            "cold": ((new_is_cold, 20), (no_faults, 60)),
+            "no control": ((no_faults, 60), (without_old_calls, 60)),
         }
         for name, steps in cases.items():
             with self.subTest(name):
-                judgement, _, _ = run_steps(*steps)
-                self.assertIs(judgement, AnalysisOutcome.HEALTHY)
+                outcome, _, _ = run_steps(*steps)
+                self.assertIs(outcome, AnalysisOutcome.HEALTHY)
 
     def test_a_stage_needs_calls_on_each_route_with_traffic(self) -> None:
-        judge = CanaryAnalysis(OLD, NEW, 0.0)
+        analysis = CanaryAnalysis(OLD, NEW, 0.0)
         totals = Totals()
-        judge.update(totals.counts, 100, 0.5)
+        analysis.update(totals.counts, 100, 0.5)
         totals.add(OLD, 100)
         totals.add(OLD, 100, route="/yearly")
         totals.add(NEW, 100)
-        verdict = judge.update(totals.counts, 100, 1.0)
-        self.assertIs(verdict.outcome, AnalysisOutcome.INSUFFICIENT)
-        self.assertIn("/yearly", verdict.evidence)
+        result = analysis.update(totals.counts, 100, 1.0)
+        self.assertIs(result.outcome, AnalysisOutcome.INSUFFICIENT)
+        self.assertIn("/yearly", result.evidence)
 
     def test_calls_before_the_share_was_raised_do_not_count_for_the_stage(self) -> None:
-        judge = CanaryAnalysis(OLD, NEW, 0.0)
+        analysis = CanaryAnalysis(OLD, NEW, 0.0)
         totals = Totals()
         totals.add(OLD, 100)
         totals.add(NEW, 100)
-        self.assertIs(judge.update(totals.counts, 0, 1.0).outcome, AnalysisOutcome.HEALTHY)
-        self.assertEqual(judge.update(totals.counts, 500, 2.0).stage_calls, 0)
+        self.assertIs(analysis.update(totals.counts, 0, 1.0).outcome, AnalysisOutcome.HEALTHY)
+        self.assertEqual(analysis.update(totals.counts, 500, 2.0).stage_calls, 0)
--- a/tests/rollouts/test_evidence.py
+++ b/tests/rollouts/test_evidence.py
@@ -11,39 +11,39 @@
 
 
 def evidence(node_id: str, calls: int, incarnation: int = 1) -> Evidence:
-    made = Evidence(7, node_id, incarnation=incarnation)
+    report = Evidence(7, node_id, incarnation=incarnation)
     for _ in range(calls):
-        made.observe("v2", "/dues", False, 0.010)
-    return made
+        report.observe("v2", "/dues", False, 0.010)
+    return report
 
 
 class EvidenceBookTests(unittest.TestCase):
-    def test_late_and_doubled_reports_change_nothing(self) -> None:
+    def test_late_and_duplicate_reports_change_nothing(self) -> None:
         book = EvidenceStore("n1", 1)
         for calls in (5, 9, 5, 9):
             book.merge(evidence("n2", calls), 1.0)
         self.assertEqual(book.totals(7)["v2", "/dues"].calls, 9)
 
-    def test_a_restarted_node_adds_to_what_it_counted_before(self) -> None:
+    def test_a_restarted_node_adds_to_its_earlier_counts(self) -> None:
         book = EvidenceStore("n1", 1)
         book.merge(evidence("n2", 9, incarnation=1), 1.0)
         book.merge(evidence("n2", 2, incarnation=2), 2.0)
         self.assertEqual(book.totals(7)["v2", "/dues"].calls, 11)
 
-    def test_own_evidence_is_not_taken_from_others(self) -> None:
+    def test_own_evidence_is_not_accepted_from_others(self) -> None:
         book = EvidenceStore("n1", 1)
         book.merge(evidence("n1", 50, incarnation=1), 1.0)
         self.assertEqual(book.totals(7), {})
 
-    def test_routes_beyond_the_bound_share_one_entry(self) -> None:
-        made = Evidence(7, "n2")
+    def test_routes_beyond_the_limit_share_one_entry(self) -> None:
+        report = Evidence(7, "n2")
         for i in range(3 * MAX_ROUTES):
-            made.observe("v2", f"/{i}", False, 0.010)
-        self.assertEqual(len(made.counts_by_version_route), MAX_ROUTES + 1)
-        calls = sum(counts.calls for counts in made.counts_by_version_route.values())
+            report.observe("v2", f"/{i}", False, 0.010)
+        self.assertEqual(len(report.counts_by_version_route), MAX_ROUTES + 1)
+        calls = sum(counts.calls for counts in report.counts_by_version_route.values())
         self.assertEqual(calls, 3 * MAX_ROUTES)
 
-    def test_finished_moves_are_dropped(self) -> None:
+    def test_evidence_on_finished_rollouts_is_dropped(self) -> None:
         book = EvidenceStore("n1", 1)
         book.merge(evidence("n2", 9), 1.0)
         book.retain({8})
@@ -60,7 +60,7 @@
         self.assertEqual(early, [True, True])
         self.assertEqual(late, [True] * (WARM_UP_CALLS - 2) + [False, False])
 
-    def test_a_new_target_warms_up_anew_and_a_renewed_one_does_not(self) -> None:
+    def test_only_a_changed_version_restarts_the_warm_up(self) -> None:
         warm_up = WarmUp()
         warm_up.set_version("v1")
         for _ in range(WARM_UP_CALLS):
--- a/tests/rollouts/test_sequential.py
+++ b/tests/rollouts/test_sequential.py
@@ -12,7 +12,7 @@
 
 
 class ChangeDetectorTests(unittest.TestCase):
-    def test_equal_rates_are_rarely_told_apart_and_unequal_ones_nearly_always(self) -> None:
+    def test_equal_rates_are_rarely_reported_and_unequal_ones_nearly_always(self) -> None:
         cases = {
             "equal": (0.02, 0.02, 0, 4),
             "equal and high": (0.4, 0.4, 0, 4),
@@ -21,7 +21,7 @@
         for name, (old_rate, new_rate, at_least, at_most) in cases.items():
             with self.subTest(name):
                 rng = random.Random(name)
-                told = 0
+                detected = 0
                 for _ in range(100):
                     detector = ChangeDetector(0.005)
                     strengths = []
@@ -29,16 +29,16 @@
                         old, new = sample(rng, 20, old_rate), sample(rng, 4, new_rate)
                         detector.add(old, new, old_rate)
                         strengths.append(detector.strength)
-                    told += max(strengths) >= 1
-                self.assertGreaterEqual(told, at_least)
-                self.assertLessEqual(told, at_most)
+                    detected += max(strengths) >= 1
+                self.assertGreaterEqual(detected, at_least)
+                self.assertLessEqual(detected, at_most)
 
     def test_one_block_alone_cannot_decide(self) -> None:
         detector = ChangeDetector(0.005)
         detector.add(Sample(1000, 0), Sample(1000, 1000), 0.005)
         self.assertLess(detector.strength, 1)
 
-    def test_a_rate_that_both_have_in_common_is_no_fault_however_unexpected(self) -> None:
+    def test_an_unexpected_rate_that_both_versions_share_is_no_fault(self) -> None:
         detector = ChangeDetector(0.005)
         for _ in range(50):
             detector.add(Sample(40, 20), Sample(40, 20), 0.005)
--- a/tests/rollouts/test_shared.py
+++ b/tests/rollouts/test_shared.py
@@ -1,4 +1,4 @@
-"""Tests of the shared state: any order, repeats and several drivers lead to the same."""
+"""Tests of the shared state: it converges for any order, duplicates and several drivers."""
 
 import unittest
 
@@ -37,21 +37,21 @@
         self.assertEqual(a.join(b).join(b), a.join(b))
 
 
-class MovesMachine(RuleBasedStateMachine):
-    """Two drivers and two other nodes whose messages are late, crossed and doubled."""
+class RolloutsMachine(RuleBasedStateMachine):
+    """Two drivers and two other nodes, with late, reordered and duplicate messages."""
 
     def __init__(self) -> None:
         super().__init__()
         self.views = [SharedRollouts() for _ in range(VIEWS)]
         self.sent: list[SharedRollout] = []
-        self.saw_taken_back = [False] * VIEWS
+        self.saw_rollback = [False] * VIEWS
 
     @rule(driver=st.integers(0, 1), share=st.sampled_from((10, 50, 250, 950)))
     def raise_share(self, driver: int, share: int) -> None:
         self._merge(driver, SharedRollout(OFFSET, share))
 
     @rule(node=st.integers(0, VIEWS - 1), reason=st.sampled_from(("errors", "slower")))
-    def take_back(self, node: int, reason: str) -> None:
+    def roll_back(self, node: int, reason: str) -> None:
         share = self.views[node].share_permille(OFFSET)
         self._merge(node, SharedRollout(OFFSET, share, True, reason, f"n{node}"))
 
@@ -62,14 +62,14 @@
 
     def _merge(self, node: int, state: SharedRollout) -> None:
         self.views[node].merge(state)
-        held = self.views[node].by_offset[OFFSET]
-        self.sent.append(held)
-        if held.rolled_back:
-            self.saw_taken_back[node] = True
+        current = self.views[node].by_offset[OFFSET]
+        self.sent.append(current)
+        if current.rolled_back:
+            self.saw_rollback[node] = True
 
     @invariant()
-    def nothing_is_served_once_the_take_back_was_seen(self) -> None:
-        for view, seen in zip(self.views, self.saw_taken_back, strict=True):
+    def no_share_is_served_once_the_rollback_was_seen(self) -> None:
+        for view, seen in zip(self.views, self.saw_rollback, strict=True):
             if seen:
                 assert view.share_permille(OFFSET) == 0
                 assert view.is_rolled_back(OFFSET)
@@ -81,19 +81,19 @@
         assert len({view.by_offset.get(OFFSET) for view in self.views}) == 1
 
 
-MovesMachine.TestCase.settings = settings(max_examples=30, stateful_step_count=20)
-MovesMachineTests = MovesMachine.TestCase
+RolloutsMachine.TestCase.settings = settings(max_examples=30, stateful_step_count=20)
+RolloutsMachineTests = RolloutsMachine.TestCase
 
 
 class KeepActiveTests(unittest.TestCase):
-    def test_peers_that_lag_do_not_bring_a_finished_move_back(self) -> None:
+    def test_lagging_peers_do_not_restore_a_finished_rollout(self) -> None:
         view = SharedRollouts()
         view.merge(SharedRollout(OFFSET, 500))
         view.keep_active(frozenset(), OFFSET + 1)
         self.assertFalse(view.merge(SharedRollout(OFFSET, 950)))
         self.assertEqual(view.share_permille(OFFSET), 0)
 
-    def test_a_take_back_may_come_before_the_move_itself(self) -> None:
+    def test_a_rollback_may_arrive_before_its_rollout(self) -> None:
         view = SharedRollouts()
         view.merge(SharedRollout(OFFSET, 10, True, "errors", "n1"))
         view.keep_active(frozenset({OFFSET}), OFFSET)
--- a/tests/sidecar/test_driver.py
+++ b/tests/sidecar/test_driver.py
@@ -35,7 +35,7 @@
 
 
 class RecordedLinks:
-    """Links that only note what is sent."""
+    """Links that only record what is sent."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[tuple[str, int], dict[str, t.Any]]] = []
@@ -65,7 +65,7 @@
 
 
 class Node:
-    """The move parts of one node on a store that several share."""
+    """The rollout components of one node, on a store shared with other nodes."""
 
     def __init__(self, number: int, store: MemoryStore) -> None:
         decisions = DecisionLog()
@@ -77,8 +77,8 @@
         for other in (1, 2):
             directory.update(f"node/{other}", peer(other).entry)
         directory.update("node/3", peer(3, "v2").entry)
-        follower = RolloutStatusHandler(decode, lambda status: self._take(status), decisions)
-        self.replica = Replica(store, "statuses", follower, decisions, rng)
+        handler = RolloutStatusHandler(decode, lambda status: self._apply_status(status), decisions)
+        self.replica = Replica(store, "statuses", handler, decisions, rng)
         self.driver = RolloutDriver(
             f"node/{number}",
             f"n-{number}",
@@ -92,7 +92,7 @@
             decisions,
         )
 
-    def _take(self, status: RolloutStatus) -> None:
+    def _apply_status(self, status: RolloutStatus) -> None:
         self.rollouts.apply_status(status, 0.0)
 
     async def read(self) -> None:
@@ -107,7 +107,7 @@
         return self.rollouts.by_service["statements"].status
 
 
-class MoveDriverTests(unittest.IsolatedAsyncioTestCase):
+class RolloutDriverTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.store = MemoryStore()
         self.first, self.second = Node(1, self.store), Node(2, self.store)
@@ -128,7 +128,7 @@
         self.assertEqual(len(self.store.records), 1)
         self.assertIsNone(self.first.status)
 
-    async def test_a_faulty_version_is_taken_back_without_the_store(self) -> None:
+    async def test_a_faulty_version_is_rolled_back_without_the_store(self) -> None:
         await self.first.driver.check()
         self.first.rollouts.apply_status(replace(STATUS, step=2), 0.0)
         rollout = self.first.rollouts.by_service["statements"]
@@ -146,7 +146,7 @@
         last = decode_rollout_status(self.store.records[-1].value).unwrap()
         self.assertEqual(last.phase, RolloutPhase.ROLLED_BACK)
 
-    async def test_a_version_without_calls_left_is_taken_back_without_the_store(self) -> None:
+    async def test_exhausted_exposure_rolls_back_without_the_store(self) -> None:
         await self.first.driver.check()
         self.first.rollouts.apply_status(replace(STATUS, step=2), 0.0)
         self.store.unavailable = True
@@ -156,7 +156,7 @@
         self.assertTrue(self.first.rollouts.is_forbidden("statements", "v2"))
         await until(lambda: len(self.first.links.bodies("state_notice")) == 2)
 
-    async def test_an_end_that_the_store_holds_counts_against_an_own_one(self) -> None:
+    async def test_a_recorded_final_status_overrides_an_unrecorded_one(self) -> None:
         self.store.put(
             "statements",
             encode_rollout_status(replace(STATUS, step=3, phase=RolloutPhase.COMPLETED)),
@@ -168,7 +168,7 @@
         self.assertEqual(len(self.store.records), 1)
         self.assertFalse(self.first.rollouts.is_forbidden("statements", "v2"))
 
-    async def test_a_step_tells_the_evidence_that_it_was_taken_on(self) -> None:
+    async def test_the_reason_of_a_step_contains_its_evidence(self) -> None:
         rollout = self.first.rollouts.by_service["statements"]
         rollout.seen_at = asyncio.get_running_loop().time() - 2.0
         await self.first.driver.check()
@@ -178,7 +178,7 @@
         self.assertGreater(self.first.status.share_permille, 0)
         self.assertEqual(self.first.status.reason, "first share; 0 of 30 calls at this share")
 
-    async def test_a_node_without_the_others_evidence_takes_no_step(self) -> None:
+    async def test_a_node_without_all_evidence_takes_no_step(self) -> None:
         last = Node(9, self.store)
         for number in (4, 9):
             last.directory.update(f"node/{number}", peer(number).entry)
@@ -192,7 +192,7 @@
             await last.driver.check()
         self.assertEqual(len(self.store.records), 1)
 
-    async def test_evidence_goes_to_the_first_nodes_that_can_be_reached(self) -> None:
+    async def test_evidence_goes_to_the_first_reachable_nodes(self) -> None:
         directory = self.second.directory
         for number in (4, 5, 6):
             directory.update(f"node/{number}", peer(number).entry)
--- a/tests/sidecar/test_rollouts.py
+++ b/tests/sidecar/test_rollouts.py
@@ -18,7 +18,7 @@
 STATUS = RolloutStatus("statements", "v2", 7, 1, 100, RolloutPhase.RUNNING, 0, 15_000)
 
 
-class MovesTests(unittest.IsolatedAsyncioTestCase):
+class RolloutsTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.rollouts = Rollouts("n-1", 1, DecisionLog(), random.Random(3), LIMITS)
         self.old = [peer(1), peer(2)]
@@ -33,24 +33,24 @@
                 found.add(chosen.entry.target.version)
         return found
 
-    async def test_without_an_order_every_target_is_taken(self) -> None:
+    async def test_without_an_order_all_versions_are_used(self) -> None:
         self.assertEqual(self.versions(1), {"v1", "v2"})
 
-    async def test_an_ordered_version_gets_nothing_before_its_first_step(self) -> None:
+    async def test_an_ordered_version_gets_no_calls_before_its_first_step(self) -> None:
         self.rollouts.apply_order(ORDER, 0.0)
         self.assertEqual(self.versions(), {"v1"})
 
-    async def test_a_step_gives_the_new_version_its_share(self) -> None:
+    async def test_a_step_sends_calls_to_the_new_version(self) -> None:
         self.rollouts.apply_order(ORDER, 0.0)
         self.rollouts.apply_status(STATUS, 0.0)
         self.assertEqual(self.versions(), {"v1", "v2"})
 
-    async def test_a_status_that_comes_before_its_order_counts(self) -> None:
+    async def test_a_status_received_before_its_order_is_applied(self) -> None:
         self.rollouts.apply_status(replace(STATUS, phase=RolloutPhase.ROLLED_BACK), 0.0)
         self.rollouts.apply_order(ORDER, 0.0)
         self.assertTrue(self.rollouts.is_forbidden("statements", "v2"))
 
-    async def test_a_version_taken_back_gets_nothing_whatever_comes_late(self) -> None:
+    async def test_late_statuses_do_not_undo_a_rollback(self) -> None:
         self.rollouts.apply_order(ORDER, 0.0)
         self.rollouts.apply_status(replace(STATUS, step=2, phase=RolloutPhase.ROLLED_BACK), 0.0)
         self.assertFalse(
@@ -60,12 +60,12 @@
         self.assertTrue(self.rollouts.is_forbidden("statements", "v2"))
         self.assertFalse(self.rollouts.is_forbidden("statements", "v1"))
 
-    async def test_a_finished_move_uses_the_new_version_only(self) -> None:
+    async def test_a_completed_rollout_uses_the_new_version_only(self) -> None:
         self.rollouts.apply_order(ORDER, 0.0)
         self.rollouts.apply_status(replace(STATUS, step=4, phase=RolloutPhase.COMPLETED), 0.0)
         self.assertEqual(self.versions(), {"v2"})
 
-    async def test_a_later_order_replaces_the_one_before(self) -> None:
+    async def test_a_later_order_replaces_an_earlier_one(self) -> None:
         self.rollouts.apply_order(ORDER, 0.0)
         self.rollouts.apply_status(replace(STATUS, phase=RolloutPhase.ROLLED_BACK), 0.0)
         self.rollouts.apply_order(replace(ORDER, to_version="v3", order_id=9), 1.0)
@@ -75,20 +75,20 @@
 
 
 class ExposureTests(unittest.IsolatedAsyncioTestCase):
-    """How many calls a version gets that is bad in some way, on a clock of the test."""
+    """Counts the calls that a faulty version receives, on a simulated clock."""
 
     CALLS_PER_S = 212
     LATENCY_S = 0.2
     STEP_S = 0.05
     CHECK_STEPS = 5
 
-    def play(
+    def simulate(
         self, bad_share: t.Callable[[float, int], float], seed: int, duration_s: float = 16.0
     ) -> tuple[RolloutPhase, int, int]:
-        """Return how a move ended, and the new version's and all calls up to its deadline.
+        """Return how a rollout ended, and the new version's and all calls up to its deadline.
 
-        :param bad_share: bad part of the new version's answers, by the seconds since the order and
-            the share in force.
+        :param bad_share: fraction of the new version's responses that are bad, by the seconds since
+            the order and the current traffic share.
         """
         rng = random.Random(seed)
         rollouts = Rollouts("n-1", 1, DecisionLog(), rng, LIMITS)
@@ -99,14 +99,14 @@
         new_calls = 0
         steps = round(duration_s / self.STEP_S)
         per_step = round(self.CALLS_PER_S * self.STEP_S)
-        answers: list[list[str]] = []
+        responses: list[list[str]] = []
         for i in range(steps):
             now = i * self.STEP_S
             chosen = ["v2" if self.is_new(rollouts) else "v1" for _ in range(per_step)]
             new_calls += chosen.count("v2")
-            answers.append(chosen)
+            responses.append(chosen)
             due = i - round(self.LATENCY_S / self.STEP_S)
-            for version in answers[due] if due >= 0 else ():
+            for version in responses[due] if due >= 0 else ():
                 bad = bad_share(now, rollout.share_permille) if version == "v2" else 0.01
                 rollouts.observe_call(
                     call(version=version), rng.random() < bad, self.LATENCY_S, False
@@ -123,18 +123,20 @@
     def check(self, rollouts: Rollouts, now: float) -> None:
         rollout = rollouts.by_service["statements"]
         assert rollout.status is not None
-        taken_back = rollouts.update_analysis(rollout, now) is not None
-        pace = rollouts.next_step(rollout, now, int(now * 1000))
-        phase = RolloutPhase.ROLLED_BACK if taken_back or pace.roll_back else RolloutPhase.RUNNING
-        phase = RolloutPhase.COMPLETED if pace.completed else phase
-        share = 0 if phase is RolloutPhase.ROLLED_BACK else pace.share_permille
+        is_faulty = rollouts.update_analysis(rollout, now) is not None
+        decision = rollouts.next_step(rollout, now, int(now * 1000))
+        phase = (
+            RolloutPhase.ROLLED_BACK if is_faulty or decision.roll_back else RolloutPhase.RUNNING
+        )
+        phase = RolloutPhase.COMPLETED if decision.completed else phase
+        share = 0 if phase is RolloutPhase.ROLLED_BACK else decision.share_permille
         step = replace(
             rollout.status, step=rollout.status.step + 1, share_permille=share, phase=phase
         )
         if (step.share_permille, phase) != (rollout.status.share_permille, rollout.status.phase):
             rollouts.apply_status(step, now)
 
-    async def test_a_bad_version_gets_no_more_than_its_share(self) -> None:
+    async def test_a_faulty_version_is_rolled_back_within_its_exposure_limit(self) -> None:
         kinds: dict[str, t.Callable[[float, int], float]] = {
             "few errors": lambda now, share: 0.09,
             "half of all": lambda now, share: 0.5,
@@ -144,12 +146,12 @@
         }
         for (name, bad_share), seed in itertools.product(kinds.items(), range(16)):
             with self.subTest(name, seed=seed):
-                phase, new_calls, calls = self.play(bad_share, seed)
+                phase, new_calls, calls = self.simulate(bad_share, seed)
                 self.assertIs(phase, RolloutPhase.ROLLED_BACK)
                 self.assertLessEqual(new_calls, LIMITS.share * calls + LIMITS.slack)
 
-    async def test_a_good_version_is_done_by_its_deadline(self) -> None:
+    async def test_a_healthy_version_completes_by_its_deadline(self) -> None:
         for seed, duration_s in itertools.product(range(8), (12.0, 16.0, 30.0)):
             with self.subTest(seed=seed, duration_s=duration_s):
-                phase, _, _ = self.play(lambda now, share: 0.01, seed, duration_s)
+                phase, _, _ = self.simulate(lambda now, share: 0.01, seed, duration_s)
                 self.assertIs(phase, RolloutPhase.COMPLETED)
