--- a/src/bulrushflow/rollouts/analysis.py
+++ b/src/bulrushflow/rollouts/analysis.py
@@ -1,29 +1,29 @@
-"""The verdict on a new version, from evidence alone: no clock and no I/O of its own."""
+"""Analysis of a new version from evidence alone, without a clock or I/O."""
 
 import enum
 from dataclasses import dataclass
 
+from bulrushflow.rollouts.comparison import RegressionSignal
 from bulrushflow.rollouts.comparison import RouteComparison
-from bulrushflow.rollouts.comparison import Sign
 from bulrushflow.rollouts.evidence import RouteCounts
 from bulrushflow.rollouts.evidence import VersionRoute
 
 SUSPECT_STRENGTH = 0.65
-"""Strength of a sign of a fault from which the share isn't raised and the move isn't done."""
+"""Strength of a regression signal that prevents raising the share and completing the rollout."""
 UNCLEAR_STRENGTH = 0.4
-"""Strength of a sign of a fault from which more calls are waited for, while there is time."""
-STAGE_CALLS = 30
-"""Calls to the new version that a stage needs."""
-STAGE_ROUTE_CALLS = 8
-"""Calls to the new version that a stage needs on each route with traffic."""
-ROUTE_TRAFFIC_SHARE = 0.02
-"""Routes with less of the service's calls aren't waited for."""
+"""Strength of a regression signal from which to wait for more calls while there is time."""
+MIN_STAGE_CALLS = 30
+"""Calls to the new version that a stage needs for a healthy outcome."""
+MIN_STAGE_ROUTE_CALLS = 8
+"""The same on each route with traffic."""
+MIN_ROUTE_TRAFFIC_FRACTION = 0.02
+"""Routes with a smaller fraction of the service's calls aren't waited for."""
 
-NO_SIGN = Sign(0.0, "", "")
+NO_SIGNAL = RegressionSignal(0.0, "", "")
 
 
 class AnalysisOutcome(enum.Enum):
-    """What the evidence says of the new version."""
+    """Outcome of an analysis of the new version."""
 
     HEALTHY = "healthy"
     INSUFFICIENT = "insufficient evidence"
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AnalysisResult:
-    """A judgement, the rule that gave it and the figures behind it.
+    """Outcome of an analysis, the rule that gave it and the figures behind it.
 
-    ``stage_calls`` are the calls to the new version since the present share began, ``strength`` is
-    that of the strongest sign of a fault, from 0 to 1, and ``stage_strength`` what it was when the
-    share began.
+    ``stage_calls`` is the number of calls to the new version in the current stage, ``strength``
+    that of the strongest regression signal, and ``stage_strength`` its value when the stage began.
+    From a strength of 1 on the version counts as faulty.
     """
 
     outcome: AnalysisOutcome
@@ -49,12 +49,12 @@
 
 
 class CanaryAnalysis:
-    """Compares the new version with the old on each route, over the same windows of time."""
+    """Compares the new version with the old one on each route, over the same time windows."""
 
     __slots__ = (
         "_by_route",
         "_from_version",
-        "_share",
+        "_share_permille",
         "_stage_base",
         "_stage_strength",
         "_started_s",
@@ -67,7 +67,7 @@
         self._from_version = from_version
         self._to_version = to_version
         self._by_route: dict[str, RouteComparison] = {}
-        self._share = 0
+        self._share_permille = 0
         self._stage_base: dict[str, int] = {}
         self._strength = 0.0
         self._stage_strength = 0.0
@@ -77,14 +77,14 @@
     def update(
         self, totals: dict[VersionRoute, RouteCounts], share_permille: int, now_s: float
     ) -> AnalysisResult:
-        """Take in the newest totals and return the verdict.
+        """Update with the current totals and return the result.
 
         :param now_s: this node's monotonic clock.
         """
         new_by_route = self._counts_by_route(totals, self._to_version)
         old_by_route = self._counts_by_route(totals, self._from_version)
-        if share_permille != self._share:
-            self._share = share_permille
+        if share_permille != self._share_permille:
+            self._share_permille = share_permille
             self.stage_started_s = now_s
             self._stage_strength = self._strength
             self._stage_base = {route: new.calls for route, new in new_by_route.items()}
@@ -95,11 +95,11 @@
                 self._by_route[route] = comparison
             old = old_by_route.get(route) or RouteCounts()
             new = new_by_route.get(route) or RouteCounts()
-            comparison.take(old, new, now_s)
-        return self._verdict(old_by_route, new_by_route)
+            comparison.update(old, new, now_s)
+        return self._result(old_by_route, new_by_route)
 
     def calls_per_s(self, totals: dict[VersionRoute, RouteCounts], now_s: float) -> float:
-        """Return the service's mean rate of calls since this judge began."""
+        """Return the service's mean call rate since the analysis began."""
         calls = sum(counts.calls for counts in totals.values())
         return calls / max(1e-3, now_s - self._started_s)
 
@@ -108,46 +108,46 @@
     ) -> dict[str, RouteCounts]:
         return {route: counts for (version, route), counts in totals.items() if version == wanted}
 
-    def _verdict(
+    def _result(
         self, old_by_route: dict[str, RouteCounts], new_by_route: dict[str, RouteCounts]
     ) -> AnalysisResult:
         stage_calls = sum(self._calls_in_stage(route, new_by_route) for route in self._by_route)
-        signs = [(comparison.worst(), route) for route, comparison in self._by_route.items()]
-        sign, worst_route = max(signs, key=lambda s: s[0].strength, default=(NO_SIGN, ""))
-        strength = self._strength = sign.strength
+        signals = [
+            (comparison.strongest_signal(), route) for route, comparison in self._by_route.items()
+        ]
+        signal, worst_route = max(signals, key=lambda s: s[0].strength, default=(NO_SIGNAL, ""))
+        strength = self._strength = signal.strength
         test = f"test strength {strength:.2f} of 1"
         if strength >= SUSPECT_STRENGTH:
-            judgement = AnalysisOutcome.FAULTY if strength >= 1 else AnalysisOutcome.SUSPECT
-            rule, evidence = sign.rule, f"route {worst_route}: {sign.figures}, {test}"
+            outcome = AnalysisOutcome.FAULTY if strength >= 1 else AnalysisOutcome.SUSPECT
+            rule, evidence = signal.rule, f"route {worst_route}: {signal.figures}, {test}"
         elif strength >= UNCLEAR_STRENGTH:
-            judgement = AnalysisOutcome.INSUFFICIENT
+            outcome = AnalysisOutcome.INSUFFICIENT
             rule, evidence = "unclear evidence", f"route {worst_route}: {test}"
-        elif lacking := self._lacking(old_by_route, new_by_route, stage_calls):
-            judgement = AnalysisOutcome.INSUFFICIENT
-            rule, evidence = "too few calls", lacking
+        elif missing := self._missing_calls(old_by_route, new_by_route, stage_calls):
+            outcome = AnalysisOutcome.INSUFFICIENT
+            rule, evidence = "too few calls", missing
         else:
-            judgement = AnalysisOutcome.HEALTHY
+            outcome = AnalysisOutcome.HEALTHY
             rule = "no route worse than the old version"
             evidence = f"{stage_calls} calls at this share, highest {test}"
-        return AnalysisResult(
-            judgement, rule, evidence, stage_calls, strength, self._stage_strength
-        )
+        return AnalysisResult(outcome, rule, evidence, stage_calls, strength, self._stage_strength)
 
     def _calls_in_stage(self, route: str, new_by_route: dict[str, RouteCounts]) -> int:
         new = new_by_route.get(route)
         return new.calls - self._stage_base.get(route, 0) if new else 0
 
-    def _lacking(
+    def _missing_calls(
         self,
         old_by_route: dict[str, RouteCounts],
         new_by_route: dict[str, RouteCounts],
         stage_calls: int,
     ) -> str:
-        if stage_calls < STAGE_CALLS:
-            return f"{stage_calls} of {STAGE_CALLS} calls at this share"
+        if stage_calls < MIN_STAGE_CALLS:
+            return f"{stage_calls} of {MIN_STAGE_CALLS} calls at this share"
         total = sum(counts.calls for counts in old_by_route.values())
         for route, old in sorted(old_by_route.items()):
             calls = self._calls_in_stage(route, new_by_route)
-            if old.calls >= ROUTE_TRAFFIC_SHARE * total and calls < STAGE_ROUTE_CALLS:
-                return f"route {route}: {calls} of {STAGE_ROUTE_CALLS} calls at this share"
+            if old.calls >= MIN_ROUTE_TRAFFIC_FRACTION * total and calls < MIN_STAGE_ROUTE_CALLS:
+                return f"route {route}: {calls} of {MIN_STAGE_ROUTE_CALLS} calls at this share"
         return ""
--- a/src/bulrushflow/rollouts/controller.py
+++ b/src/bulrushflow/rollouts/controller.py
@@ -1,4 +1,4 @@
-"""One node's decisions on one move, from evidence and times given to it."""
+"""One node's analysis and decisions for one rollout; evidence and times are passed in."""
 
 from dataclasses import dataclass
 
@@ -16,26 +16,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutTimes:
-    """When a move was stated and is to finish, in epoch milliseconds."""
+    """Order time and deadline of a rollout in epoch milliseconds."""
 
     stated_at_ms: int
     finish_by_ms: int
 
     @property
     def span_s(self) -> float:
-        """Time from the statement to the deadline in seconds."""
+        """Time from the order to the deadline in seconds."""
         return (self.finish_by_ms - self.stated_at_ms) / 1000
 
 
 class RolloutController:
-    """Judges the new version on every tick, and paces the move where this node drives it.
+    """Analyses the new version, and decides on steps where this node drives the rollout.
 
-    :param limits: bound the calls of a version that isn't proved; ``None`` bounds nothing.
+    :param limits: limit the calls of a version not yet proven healthy; ``None`` means no limit.
     """
 
     __slots__ = (
+        "_analysis",
         "_calls_per_s",
-        "_judge",
         "_limits",
         "_new_calls",
         "_times",
@@ -54,7 +54,7 @@
         self._to_version = to_version
         self._limits = limits
         self._new_calls = 0
-        self._judge = CanaryAnalysis(from_version, to_version, now_s)
+        self._analysis = CanaryAnalysis(from_version, to_version, now_s)
         self._times = times
         self._calls_per_s = 0.0
         self.latest_result = AnalysisResult(
@@ -64,28 +64,28 @@
     def update_analysis(
         self, totals: dict[VersionRoute, RouteCounts], share_permille: int, now_s: float
     ) -> AnalysisResult:
-        """Judge the newest totals.
+        """Update the analysis with the current totals, and return its result.
 
         :param now_s: this node's monotonic clock.
         """
-        self.latest_result = self._judge.update(totals, share_permille, now_s)
-        self._calls_per_s = self._judge.calls_per_s(totals, now_s)
+        self.latest_result = self._analysis.update(totals, share_permille, now_s)
+        self._calls_per_s = self._analysis.calls_per_s(totals, now_s)
         self._new_calls = sum(
             counts.calls for (version, _), counts in totals.items() if version == self._to_version
         )
         return self.latest_result
 
     def next_step(self, share_permille: int, now_ms: int, now_s: float) -> StepDecision:
-        """Return the next step, for the node that drives the move.
+        """Return the decision on the next step, for the node that drives the rollout.
 
-        :param now_ms: epoch milliseconds, to compare with the deadline.
+        :param now_ms: epoch milliseconds, compared with the deadline.
         """
-        plan = RolloutSchedule(self._times.span_s, self._calls_per_s, self._exposure())
+        schedule = RolloutSchedule(self._times.span_s, self._calls_per_s, self._exposure_budget())
         elapsed_s = (now_ms - self._times.stated_at_ms) / 1000
-        stage_s = now_s - self._judge.stage_started_s
-        return decide_step(plan, share_permille, self.latest_result, elapsed_s, stage_s)
+        stage_s = now_s - self._analysis.stage_started_s
+        return decide_step(schedule, share_permille, self.latest_result, elapsed_s, stage_s)
 
-    def _exposure(self) -> ExposureBudget:
+    def _exposure_budget(self) -> ExposureBudget:
         if self._limits is None:
             return ExposureBudget()
         limit = self._limits.max_calls(self._calls_per_s, self._times.span_s)
--- a/src/bulrushflow/rollouts/shared.py
+++ b/src/bulrushflow/rollouts/shared.py
@@ -1,11 +1,11 @@
-"""The state of moves that nodes share: a join-semilattice, so order and repeats don't matter."""
+"""Shared state of rollouts: a join-semilattice, so order and duplicates don't matter."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class SharedRollout:
-    """How far a move has gone. The share only grows, and a take-back is final."""
+    """Progress of one rollout. The traffic share only grows, and a rollback is final."""
 
     offset: int
     share_permille: int = 0
@@ -14,21 +14,21 @@
     decided_by: str = ""
 
     def join(self, other: "SharedRollout") -> "SharedRollout":
-        """Return the least state that includes both."""
+        """Return the least upper bound of both states."""
         rolled_back = self.rolled_back or other.rolled_back
-        verdicts = [m for m in (self, other) if m.rolled_back]
-        first = min(verdicts, key=lambda m: (m.reason, m.decided_by)) if verdicts else self
+        rollbacks = [m for m in (self, other) if m.rolled_back]
+        first = min(rollbacks, key=lambda m: (m.reason, m.decided_by)) if rollbacks else self
         return SharedRollout(
             self.offset,
             max(self.share_permille, other.share_permille),
             rolled_back,
-            first.reason if verdicts else "",
-            first.decided_by if verdicts else "",
+            first.reason if rollbacks else "",
+            first.decided_by if rollbacks else "",
         )
 
 
 class SharedRollouts:
-    """This node's view of the shared state of all active moves."""
+    """This node's view of the shared state of all active rollouts."""
 
     __slots__ = ("_active", "_version", "by_offset")
 
@@ -40,32 +40,32 @@
     def merge(self, state: SharedRollout) -> bool:
         """Join a state into the view; return whether that changed it.
 
-        A move that is final in the configuration held is passed over, or peers that lag would
-        bring it back.
+        A rollout that is final in this node's configuration is ignored; otherwise lagging peers
+        would restore it.
         """
         if state.offset <= self._version and state.offset not in self._active:
             return False
-        held = self.by_offset.get(state.offset)
-        joined = state if held is None else held.join(state)
-        if joined == held:
+        current = self.by_offset.get(state.offset)
+        joined = state if current is None else current.join(state)
+        if joined == current:
             return False
         self.by_offset[state.offset] = joined
         return True
 
     def share_permille(self, offset: int) -> int:
-        """Return the share of calls for the new version: 0 when unknown or taken back."""
-        held = self.by_offset.get(offset)
-        if held is None or held.rolled_back:
+        """Return the new version's traffic share, 0 if unknown or rolled back."""
+        current = self.by_offset.get(offset)
+        if current is None or current.rolled_back:
             return 0
-        return held.share_permille
+        return current.share_permille
 
     def is_rolled_back(self, offset: int) -> bool:
-        """Tell whether any node took the move back."""
-        held = self.by_offset.get(offset)
-        return held is not None and held.rolled_back
+        """Return whether any node rolled the version back."""
+        current = self.by_offset.get(offset)
+        return current is not None and current.rolled_back
 
     def keep_active(self, offsets: frozenset[int], version: int) -> None:
-        """Drop the moves that are final in configuration ``version``."""
+        """Drop the rollouts that are final in configuration ``version``."""
         self._active = offsets
         self._version = version
         for offset in list(self.by_offset):
