--- a/src/bulrushflow/sidecar/admission_controller.py
+++ b/src/bulrushflow/sidecar/admission_controller.py
@@ -18,14 +18,14 @@
 from bulrushflow.sidecar.retry_budget import TargetRetryBudget
 from bulrushflow.sidecar.settings import Endpoint
 from bulrushflow.sidecar.slots import SlotPool
-from bulrushflow.sidecar.slots import Wait
+from bulrushflow.sidecar.slots import SlotRequest
 from bulrushflow.sidecar.target_client import TargetClient
 from bulrushflow.timers import Clock
 
-MAX_DEPARTED = 64
+MAX_DEPARTED_TARGETS = 64
 """Targets that left and whose late announcements are recognized."""
 
-Observer = t.Callable[[Call, bool, float], None]
+ResponseObserver = t.Callable[[Call, bool, float], None]
 EntryCallback = t.Callable[[TargetEntry | None], None]
 
 
@@ -39,28 +39,28 @@
 
     def __init__(
         self,
-        names: HeaderNames,
+        header_names: HeaderNames,
         is_forbidden: t.Callable[[str, str], bool],
-        observer: Observer,
+        observer: ResponseObserver,
         on_change: EntryCallback,
-        repeats: TargetRetryBudget,
+        retry_budget: TargetRetryBudget,
         decisions: DecisionLog,
         clock: Clock,
     ) -> None:
         self.entry: TargetEntry | None = None
         self.endpoint: Endpoint | None = None
         self.reachable = True
-        self._names = names
+        self._header_names = header_names
         self._is_forbidden = is_forbidden
         self._observer = observer
         self._on_change = on_change
-        self._repeats = repeats
+        self._retry_budget = retry_budget
         self._decisions = decisions
         self._clock = clock
         self._slots = SlotPool(1)
         self._client: TargetClient | None = None
         self._departed: collections.OrderedDict[str, tuple[int, int]] = collections.OrderedDict()
-        self._sends: set[asyncio.Task[CallResult]] = set()
+        self._running: set[asyncio.Task[CallResult]] = set()
 
     @property
     def load(self) -> int:
@@ -70,28 +70,32 @@
     @property
     def capacity(self) -> int:
         """Slots of the target; 0 while it takes no calls."""
-        return self._slots.capacity if self._takes_calls() else 0
+        return self._slots.capacity if self._accepts_calls() else 0
 
     @property
     def in_flight(self) -> int:
         """Calls at the target."""
-        return len(self._sends)
+        return len(self._running)
 
     def apply_announcement(self, entry: TargetEntry, endpoint: Endpoint) -> bool:
-        """Take the target's word on itself; ``False`` when a newer word is held already."""
-        held = self.entry
+        """Take the target's word on itself; ``False`` when a newer word is current already."""
+        current = self.entry
         departed = self._departed.get(entry.target_id)
         if departed is not None and entry.incarnation <= departed[0]:
             return False
-        if held is not None and entry.revision <= held.revision:
+        if current is not None and entry.revision <= current.revision:
             # A word that was late, perhaps of a process that ended.
-            return entry.revision == held.revision
-        replaced = held is None or held.target_id != entry.target_id
-        replaced = replaced or t.cast(TargetEntry, held).incarnation != entry.incarnation
+            return entry.revision == current.revision
+        replaced = current is None or current.target_id != entry.target_id
+        replaced = replaced or t.cast(TargetEntry, current).incarnation != entry.incarnation
         if replaced or endpoint != self.endpoint:
             self._replace(entry, endpoint)
         self._slots.capacity = entry.slots
-        changed = replaced or not self.reachable or not _equal(t.cast(TargetEntry, held), entry)
+        changed = (
+            replaced
+            or not self.reachable
+            or not _same_for_peers(t.cast(TargetEntry, current), entry)
+        )
         self.entry = entry
         self.reachable = True
         if entry.state is not TargetState.READY:
@@ -111,13 +115,13 @@
 
     def remove_target(self, target_id: str) -> None:
         """Take the word of a target that it leaves for good; it gets no new calls."""
-        held = self.entry
-        if held is None or held.target_id != target_id:
+        current = self.entry
+        if current is None or current.target_id != target_id:
             # Its incarnation isn't known, but it began before now.
             self._remember_departed(target_id, (self._clock.wall_ms(), 0))
             return
-        self._remember_departed(target_id, held.revision)
-        self._decisions.event("target left", target=target_id, service=held.service)
+        self._remember_departed(target_id, current.revision)
+        self._decisions.event("target left", target=target_id, service=current.service)
         self.entry = None
         self._slots.refuse_queued("the target left")
         self._on_change(None)
@@ -127,9 +131,9 @@
         refusal = self._refusal(call)
         slots = self._slots
         if refusal is None:
-            refusal = await slots.acquire(_wait(call))
+            refusal = await slots.acquire(_slot_request(call))
             if refusal is None:
-                refusal = self._late_refusal(call, slots)
+                refusal = self._refusal_after_wait(call, slots)
                 if refusal is None:
                     return await self._send(call, slots)
                 slots.release(call.route, None)
@@ -141,7 +145,7 @@
         if self._client is not None:
             self._client.close()
 
-    def _takes_calls(self) -> bool:
+    def _accepts_calls(self) -> bool:
         entry = self.entry
         return entry is not None and entry.state is TargetState.READY and self.reachable
 
@@ -159,23 +163,23 @@
             return f"version {call.version} was taken back"
         return None
 
-    def _late_refusal(self, call: Call, slots: SlotPool) -> str | None:
+    def _refusal_after_wait(self, call: Call, slots: SlotPool) -> str | None:
         """Tell why a call that has its slot may not be sent."""
         if slots is not self._slots:
             return "the target was replaced"
-        return self._refusal(call) or self._repeat_refusal(call)
+        return self._refusal(call) or self._retry_refusal(call)
 
-    def _repeat_refusal(self, call: Call) -> str | None:
+    def _retry_refusal(self, call: Call) -> str | None:
         now = asyncio.get_running_loop().time()
         if not call.attempt:
-            self._repeats.record_first_attempt(now)
+            self._retry_budget.record_first_attempt(now)
             return None
-        return None if self._repeats.try_consume(now) else "too many repeated calls"
+        return None if self._retry_budget.try_consume(now) else "too many repeated calls"
 
     async def _send(self, call: Call, slots: SlotPool) -> CallResult:
         task = asyncio.get_running_loop().create_task(self._exchange(call, slots))
-        self._sends.add(task)
-        task.add_done_callback(self._sends.discard)
+        self._running.add(task)
+        task.add_done_callback(self._running.discard)
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
@@ -201,20 +205,20 @@
             case Err(failure):
                 if failure.outcome is Outcome.UNKNOWN:
                     self._observer(call, True, seconds)
-                self._after_failure(client)
+                self._handle_failure(client)
         return result
 
-    def _after_failure(self, client: TargetClient) -> None:
+    def _handle_failure(self, client: TargetClient) -> None:
         if client is not self._client or self.entry is None:
             return
         if client.replaced:
-            self._lose("another target has the address")
+            self._drop_target("another target has the address")
         elif client.unreachable and self.reachable:
             self._decisions.event("target unreachable", target=self.entry.target_id)
             self.reachable = False
             self._slots.refuse_queued("the target takes no connections")
 
-    def _lose(self, reason: str) -> None:
+    def _drop_target(self, reason: str) -> None:
         entry = t.cast(TargetEntry, self.entry)
         self._decisions.event("target lost", target=entry.target_id, reason=reason)
         self._remember_departed(entry.target_id, entry.revision)
@@ -224,7 +228,7 @@
 
     def _remember_departed(self, target_id: str, order: tuple[int, int]) -> None:
         self._departed[target_id] = order
-        while len(self._departed) > MAX_DEPARTED:
+        while len(self._departed) > MAX_DEPARTED_TARGETS:
             self._departed.popitem(last=False)
 
     def _replace(self, entry: TargetEntry, endpoint: Endpoint) -> None:
@@ -232,17 +236,17 @@
         if self._client is not None:
             self._client.close()
         self._slots = SlotPool(entry.slots)
-        self._client = TargetClient(endpoint, entry.target_id, self._names)
+        self._client = TargetClient(endpoint, entry.target_id, self._header_names)
         self.endpoint = endpoint
 
 
-def _wait(call: Call) -> Wait:
-    return Wait(call.route, call.priority, call.late_after, call.deadline)
+def _slot_request(call: Call) -> SlotRequest:
+    return SlotRequest(call.route, call.priority, call.late_after, call.deadline)
 
 
-def _equal(held: TargetEntry, entry: TargetEntry) -> bool:
+def _same_for_peers(current: TargetEntry, entry: TargetEntry) -> bool:
     """Tell whether the others know all of an entry already."""
-    return (held.service, held.version, held.slots, held.state) == (
+    return (current.service, current.version, current.slots, current.state) == (
         entry.service,
         entry.version,
         entry.slots,
--- a/src/bulrushflow/sidecar/exchange.py
+++ b/src/bulrushflow/sidecar/exchange.py
@@ -6,11 +6,11 @@
 
 import h11
 
-MAX_ANSWER_HEAD_BYTES = 64 << 10
+MAX_RESPONSE_HEAD_BYTES = 64 << 10
 
 
 @dataclass(frozen=True, slots=True)
-class RawAnswer:
+class RawResponse:
     """A whole answer; header names are in lower case."""
 
     status: int
@@ -39,12 +39,12 @@
         self._id_header = id_header
         self._max_body_bytes = max_body_bytes
         self._transport: asyncio.Transport | None = None
-        self._parser = h11.Connection(h11.CLIENT, MAX_ANSWER_HEAD_BYTES)
+        self._parser = h11.Connection(h11.CLIENT, MAX_RESPONSE_HEAD_BYTES)
         self._request: h11.Request | None = None
         self._request_id = ""
         self._response: h11.Response | None = None
         self._body = bytearray()
-        self._waiter: asyncio.Future[RawAnswer] | None = None
+        self._waiter: asyncio.Future[RawResponse] | None = None
         self.reusable = True
         self.idle_since = 0.0
         self.keep_alive_s: float | None = None
@@ -83,7 +83,7 @@
         headers: t.Sequence[tuple[str, str]],
         body: bytes,
         call_id: str,
-    ) -> RawAnswer:
+    ) -> RawResponse:
         """Send a request and return its answer.
 
         A cancelled exchange closes the connection, which tells the target.
@@ -123,11 +123,11 @@
                 event = self._parser.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
-                self._take(event)
+                self._handle_event(event)
         except h11.RemoteProtocolError as exc:
             self._fail(f"no HTTP answer: {exc}")
 
-    def _take(self, event: t.Any) -> None:
+    def _handle_event(self, event: t.Any) -> None:
         if isinstance(event, h11.Response):
             self._response = event
         elif isinstance(event, h11.Data):
@@ -135,22 +135,22 @@
             if len(self._body) > self._max_body_bytes:
                 self._fail("the answer is too large")
         elif isinstance(event, h11.EndOfMessage):
-            self._end()
+            self._finish_response()
         elif isinstance(event, h11.ConnectionClosed):
             self._fail("closed without an answer")
 
-    def _end(self) -> None:
+    def _finish_response(self) -> None:
         response = self._response
         if response is None or self._waiter is None:
             self._fail("an end without an answer")
             return
-        answer = RawAnswer(response.status_code, _decode(response.headers), bytes(self._body))
+        answer = RawResponse(response.status_code, _decode(response.headers), bytes(self._body))
         if answer.header(self._id_header) not in {None, self._request_id}:
-            self._skip()
+            self._skip_stale_response()
             return
         trailing, _ = self._parser.trailing_data
         keeps = self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE
-        if trailing or not keeps or self._unsent():
+        if trailing or not keeps or self._has_unsent_data():
             self.reusable = False
         else:
             self._parser.start_next_cycle()
@@ -159,13 +159,13 @@
         if not self.reusable:
             self.close()
 
-    def _skip(self) -> None:
+    def _skip_stale_response(self) -> None:
         """Pass over a late answer to an earlier call, and go on with what follows it."""
         trailing, closed = self._parser.trailing_data
         if closed or self._parser.their_state is not h11.DONE or self._request is None:
             self._fail("the answer belongs to another call")
             return
-        self._parser = h11.Connection(h11.CLIENT, MAX_ANSWER_HEAD_BYTES)
+        self._parser = h11.Connection(h11.CLIENT, MAX_RESPONSE_HEAD_BYTES)
         self._response = None
         self._body.clear()
         # The new parser has to know the request, whose bytes are on the wire already.
@@ -174,7 +174,7 @@
         if trailing:
             self._parser.receive_data(trailing)
 
-    def _unsent(self) -> bool:
+    def _has_unsent_data(self) -> bool:
         return self._transport is None or self._transport.get_write_buffer_size() > 0
 
     def _fail(self, reason: str) -> None:
--- a/src/bulrushflow/sidecar/retry_budget.py
+++ b/src/bulrushflow/sidecar/retry_budget.py
@@ -2,11 +2,11 @@
 
 import collections
 
-RATIO_PART = 0.3
+RATIO_FRACTION = 0.3
 """Part of the allowed ratio that is used here. The rest is for calls that repeated calls make, each
 of which may make several."""
-SLACK_PART = 0.3
-SPAN_S = 0.5
+SLACK_FRACTION = 0.3
+BUCKET_S = 0.5
 """Length of the spans that a window is counted in."""
 
 
@@ -19,42 +19,50 @@
     :param slack: repeated calls allowed in a window beyond the ratio, over the service.
     """
 
-    __slots__ = ("_firsts", "_ratio", "_repeats", "_slack", "_spans", "_window_s", "target_count")
+    __slots__ = (
+        "_buckets",
+        "_first_attempts",
+        "_ratio",
+        "_retries",
+        "_slack",
+        "_window_s",
+        "target_count",
+    )
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
         self.configure(ratio, slack, window_s)
-        self._spans: collections.deque[list[float]] = collections.deque()
-        self._firsts = 0.0
-        self._repeats = 0.0
+        self._buckets: collections.deque[list[float]] = collections.deque()
+        self._first_attempts = 0.0
+        self._retries = 0.0
         self.target_count = 1
         """Targets of the service that share the slack."""
 
     def configure(self, ratio: float, slack: float, window_s: float) -> None:
         """Put other bounds in force."""
-        self._ratio = ratio * RATIO_PART
-        self._slack = slack * SLACK_PART
+        self._ratio = ratio * RATIO_FRACTION
+        self._slack = slack * SLACK_FRACTION
         self._window_s = window_s
 
     def record_first_attempt(self, now: float) -> None:
         """Count a call that was not sent to a target before."""
-        self._span(now)[1] += 1
-        self._firsts += 1
+        self._current_bucket(now)[1] += 1
+        self._first_attempts += 1
 
     def try_consume(self, now: float) -> bool:
         """Count a repeated call; ``False`` when it is one too many."""
-        span = self._span(now)
-        allowed = self._ratio * self._firsts + self._slack / max(1, self.target_count)
-        if self._repeats + 1 > allowed:
+        bucket = self._current_bucket(now)
+        allowed = self._ratio * self._first_attempts + self._slack / max(1, self.target_count)
+        if self._retries + 1 > allowed:
             return False
-        span[2] += 1
-        self._repeats += 1
+        bucket[2] += 1
+        self._retries += 1
         return True
 
-    def _span(self, now: float) -> list[float]:
-        while self._spans and self._spans[0][0] <= now - self._window_s:
-            _, firsts, repeats = self._spans.popleft()
-            self._firsts -= firsts
-            self._repeats -= repeats
-        if not self._spans or self._spans[-1][0] <= now - SPAN_S:
-            self._spans.append([now, 0.0, 0.0])
-        return self._spans[-1]
+    def _current_bucket(self, now: float) -> list[float]:
+        while self._buckets and self._buckets[0][0] <= now - self._window_s:
+            _, first_attempts, retries = self._buckets.popleft()
+            self._first_attempts -= first_attempts
+            self._retries -= retries
+        if not self._buckets or self._buckets[-1][0] <= now - BUCKET_S:
+            self._buckets.append([now, 0.0, 0.0])
+        return self._buckets[-1]
--- a/src/bulrushflow/sidecar/slots.py
+++ b/src/bulrushflow/sidecar/slots.py
@@ -14,78 +14,85 @@
 
 from bulrushflow.exceptions import InvariantError
 
-SMOOTHING = 0.1
+SERVICE_TIME_SMOOTHING = 0.1
 """Weight of the newest call in a smoothed service time."""
-FIRST_SERVICE_S = 0.05
+DEFAULT_SERVICE_TIME_S = 0.05
 """Taken for the service time of a route before its first answer."""
 MAX_QUEUED_PER_SLOT = 4
-DEADLINE_PART = 0.5
+LATE_WAIT_FRACTION = 0.5
 """Part of the time left within which a call may be answered though its answer comes late."""
-WORTHWHILE_PART = 0.5
+MIN_SERVICE_FRACTION = 0.5
 """Part of its usual service time that a call needs until its deadline to be worth a start."""
-SHORT_PART = 0.5
+SHORT_ROUTE_FRACTION = 0.5
 """Routes whose calls take less than this part of the longest go first: they delay others little,
 and are mostly made by calls that hold a slot elsewhere."""
-SHORT_RANK = -1
-MAX_ROUTES = 256
+SHORT_ROUTE_RANK = -1
+MAX_TRACKED_ROUTES = 256
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
+class SlotRequest:
     """What the queue has to know of a call; times are of the loop's clock."""
 
     route: str
     priority: int
-    useful_until: float
+    late_after: float
     """When the answer loses worth."""
     deadline: float
 
 
 @dataclass(order=True, slots=True)
-class _Waiting:
+class _QueuedRequest:
     """A call in the queue; the lower rank goes first, then the earlier arrival."""
 
     rank: int
-    arrival: int
-    wait: Wait = field(compare=False)
-    granted: asyncio.Future[str | None] = field(compare=False)
+    sequence: int
+    request: SlotRequest = field(compare=False)
+    decision: asyncio.Future[str | None] = field(compare=False)
 
 
 class SlotPool:
     """Grants slots. A call that can't be answered while it is of use is refused at once."""
 
-    __slots__ = ("_arrivals", "_late", "_queue", "_service_by_route", "active", "capacity")
+    __slots__ = (
+        "_late_queue",
+        "_queue",
+        "_sequence",
+        "_service_time_by_route",
+        "active",
+        "capacity",
+    )
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
         self.active = 0
-        self._arrivals = itertools.count()
-        self._queue: list[_Waiting] = []
-        self._late: collections.deque[_Waiting] = collections.deque()
+        self._sequence = itertools.count()
+        self._queue: list[_QueuedRequest] = []
+        self._late_queue: collections.deque[_QueuedRequest] = collections.deque()
         """Waiting calls whose answers lose worth, in the order in which that was found."""
-        self._service_by_route: dict[str, float] = {}
+        self._service_time_by_route: dict[str, float] = {}
 
     @property
     def queued(self) -> int:
         """Calls that wait for a slot."""
-        waiting = itertools.chain(self._queue, self._late)
-        return sum(1 for item in waiting if not item.granted.done())
+        queued = itertools.chain(self._queue, self._late_queue)
+        return sum(1 for item in queued if not item.decision.done())
 
     @property
     def load(self) -> int:
         """Slots in use, and calls that wait for one."""
         return self.active + self.queued
 
-    def service_s(self, route: str) -> float:
+    def service_time_s(self, route: str) -> float:
         """Return the smoothed service time of a route's calls."""
-        return self._service_by_route.get(route, FIRST_SERVICE_S)
+        return self._service_time_by_route.get(route, DEFAULT_SERVICE_TIME_S)
 
-    async def acquire(self, wait: Wait) -> str | None:
+    async def acquire(self, request: SlotRequest) -> str | None:
         """Wait for a slot; return why none was had, or ``None`` with a slot."""
         loop = asyncio.get_running_loop()
         now = loop.time()
-        service_s = self.service_s(wait.route)
-        last_start = wait.deadline - service_s * WORTHWHILE_PART
+        service_time_s = self.service_time_s(request.route)
+        last_start = request.deadline - service_time_s * MIN_SERVICE_FRACTION
         # An idle target may be faster than it was.
         if self.active and now >= last_start:
             return "the deadline can't be met any more"
@@ -93,29 +100,31 @@
         if self.active < self.capacity and not queued:
             self.active += 1
             return None
-        if queued >= self.capacity * MAX_QUEUED_PER_SLOT and not self._give_up_late():
+        if queued >= self.capacity * MAX_QUEUED_PER_SLOT and not self._evict_late():
             return "the queue is full"
-        rank = self._rank(wait)
-        granted: asyncio.Future[str | None] = loop.create_future()
-        waiting = _Waiting(rank, next(self._arrivals), wait, granted)
-        ahead_s = self._ahead_s(item for item in self._queue if item.rank <= rank)
-        if rank == SHORT_RANK or self._is_in_time(wait, now + ahead_s):
-            heapq.heappush(self._queue, waiting)
+        rank = self._rank(request)
+        decision: asyncio.Future[str | None] = loop.create_future()
+        queued_request = _QueuedRequest(rank, next(self._sequence), request, decision)
+        expected_wait_s = self._expected_wait_s(item for item in self._queue if item.rank <= rank)
+        if rank == SHORT_ROUTE_RANK or self._meets_objective(request, now + expected_wait_s):
+            heapq.heappush(self._queue, queued_request)
         else:
-            ahead_s = self._ahead_s(itertools.chain(self._queue, self._late))
-            latest = max(wait.useful_until, now + (wait.deadline - now) * DEADLINE_PART)
-            if now + ahead_s + service_s > latest:
-                return f"an answer is expected in {ahead_s + service_s:.2f} s, too late"
-            self._late.append(waiting)
+            expected_wait_s = self._expected_wait_s(itertools.chain(self._queue, self._late_queue))
+            latest = max(request.late_after, now + (request.deadline - now) * LATE_WAIT_FRACTION)
+            if now + expected_wait_s + service_time_s > latest:
+                return (
+                    f"an answer is expected in {expected_wait_s + service_time_s:.2f} s, too late"
+                )
+            self._late_queue.append(queued_request)
         try:
             # From then on an answer can't come in time, but the caller can still be told so.
             async with asyncio.timeout_at(last_start):
-                return await granted
+                return await decision
         except TimeoutError:
-            self._abandon(granted)
+            self._cancel(decision)
             return "the deadline can't be met any more"
         except asyncio.CancelledError:
-            self._abandon(granted)
+            self._cancel(decision)
             raise
 
     def release(self, route: str, seconds: float | None) -> None:
@@ -127,81 +136,90 @@
             raise InvariantError("a slot was released twice")
         self.active -= 1
         if seconds is not None:
-            self._observe(route, seconds)
+            self._record_service_time(route, seconds)
         self._grant()
 
     def refuse_queued(self, reason: str) -> None:
         """Refuse every call that waits."""
-        queue = [*self._queue, *self._late]
+        queue = [*self._queue, *self._late_queue]
         self._queue.clear()
-        self._late.clear()
-        for waiting in queue:
-            if not waiting.granted.done():
-                waiting.granted.set_result(reason)
-
-    def _observe(self, route: str, seconds: float) -> None:
-        if route not in self._service_by_route and len(self._service_by_route) >= MAX_ROUTES:
+        self._late_queue.clear()
+        for queued_request in queue:
+            if not queued_request.decision.done():
+                queued_request.decision.set_result(reason)
+
+    def _record_service_time(self, route: str, seconds: float) -> None:
+        if (
+            route not in self._service_time_by_route
+            and len(self._service_time_by_route) >= MAX_TRACKED_ROUTES
+        ):
             return
-        held = self._service_by_route.get(route, seconds)
-        self._service_by_route[route] = held + (seconds - held) * SMOOTHING
+        current = self._service_time_by_route.get(route, seconds)
+        self._service_time_by_route[route] = current + (seconds - current) * SERVICE_TIME_SMOOTHING
 
-    def _rank(self, wait: Wait) -> int:
-        longest_s = max(self._service_by_route.values(), default=0.0)
-        if self.service_s(wait.route) < longest_s * SHORT_PART:
-            return SHORT_RANK
-        return wait.priority
+    def _rank(self, request: SlotRequest) -> int:
+        longest_s = max(self._service_time_by_route.values(), default=0.0)
+        if self.service_time_s(request.route) < longest_s * SHORT_ROUTE_FRACTION:
+            return SHORT_ROUTE_RANK
+        return request.priority
 
-    def _ahead_s(self, ahead: t.Iterable[_Waiting]) -> float:
+    def _expected_wait_s(self, ahead: t.Iterable[_QueuedRequest]) -> float:
         """Return the time until a slot is free for a call behind others."""
-        work_s = sum(self.service_s(item.wait.route) for item in ahead if not item.granted.done())
+        work_s = sum(
+            self.service_time_s(item.request.route) for item in ahead if not item.decision.done()
+        )
         # The calls that run are half done on average.
-        mean_s = sum(self._service_by_route.values()) / max(1, len(self._service_by_route))
+        mean_s = sum(self._service_time_by_route.values()) / max(
+            1, len(self._service_time_by_route)
+        )
         return (work_s + mean_s / 2) / max(1, self.capacity)
 
-    def _is_in_time(self, wait: Wait, start: float) -> bool:
+    def _meets_objective(self, request: SlotRequest, start: float) -> bool:
         """Tell whether a call that starts then is answered before its answer loses worth."""
-        return start + self.service_s(wait.route) <= wait.useful_until
+        return start + self.service_time_s(request.route) <= request.late_after
 
     def _grant(self) -> None:
         now = asyncio.get_running_loop().time()
         while self.active < self.capacity:
-            waiting = self._next(now)
-            if waiting is None:
+            queued_request = self._pop_next(now)
+            if queued_request is None:
                 return
-            wait = waiting.wait
-            if now + self.service_s(wait.route) * WORTHWHILE_PART >= wait.deadline:
-                waiting.granted.set_result("the deadline can't be met any more")
+            request = queued_request.request
+            if now + self.service_time_s(request.route) * MIN_SERVICE_FRACTION >= request.deadline:
+                queued_request.decision.set_result("the deadline can't be met any more")
                 continue
             self.active += 1
-            waiting.granted.set_result(None)
+            queued_request.decision.set_result(None)
 
-    def _next(self, now: float) -> _Waiting | None:
+    def _pop_next(self, now: float) -> _QueuedRequest | None:
         """Take the next call from the queue: one in time if there is any."""
         while self._queue:
-            waiting = heapq.heappop(self._queue)
-            if waiting.granted.done():
+            queued_request = heapq.heappop(self._queue)
+            if queued_request.decision.done():
                 continue
-            if waiting.rank == SHORT_RANK or self._is_in_time(waiting.wait, now):
-                return waiting
-            self._late.append(waiting)
-        while self._late:
-            waiting = self._late.popleft()
-            if not waiting.granted.done():
-                return waiting
+            if queued_request.rank == SHORT_ROUTE_RANK or self._meets_objective(
+                queued_request.request, now
+            ):
+                return queued_request
+            self._late_queue.append(queued_request)
+        while self._late_queue:
+            queued_request = self._late_queue.popleft()
+            if not queued_request.decision.done():
+                return queued_request
         return None
 
-    def _give_up_late(self) -> bool:
+    def _evict_late(self) -> bool:
         """Refuse the call that is late for the longest time, if there is one."""
-        while self._late:
-            granted = self._late.popleft().granted
-            if not granted.done():
-                granted.set_result("late, and the queue is full")
+        while self._late_queue:
+            decision = self._late_queue.popleft().decision
+            if not decision.done():
+                decision.set_result("late, and the queue is full")
                 return True
         return False
 
-    def _abandon(self, granted: asyncio.Future[str | None]) -> None:
-        # The slot may have been granted in the same turn of the loop that ended the wait.
-        if granted.done() and not granted.cancelled() and granted.result() is None:
+    def _cancel(self, decision: asyncio.Future[str | None]) -> None:
+        # The slot may have been granted in the same turn of the loop that ended the request.
+        if decision.done() and not decision.cancelled() and decision.result() is None:
             self.release("", None)
-        elif not granted.done():
-            granted.cancel()
+        elif not decision.done():
+            decision.cancel()
--- a/src/bulrushflow/sidecar/target_client.py
+++ b/src/bulrushflow/sidecar/target_client.py
@@ -9,25 +9,25 @@
 from bulrushflow.routing import not_run
 from bulrushflow.routing import unknown
 from bulrushflow.sidecar.exchange import ExchangeError
-from bulrushflow.sidecar.exchange import RawAnswer
+from bulrushflow.sidecar.exchange import RawResponse
 from bulrushflow.sidecar.exchange import TargetConnection
 from bulrushflow.sidecar.headers import HOP_BY_HOP_HEADERS
 from bulrushflow.sidecar.headers import HeaderNames
 from bulrushflow.sidecar.settings import Endpoint
 
 CONNECT_TIMEOUT_S = 0.5
-USER_TIMEOUT_MS = 1_000
+TCP_USER_TIMEOUT_MS = 1_000
 """A connection whose packets the target doesn't acknowledge is given up after so long."""
-DEFAULT_REUSE_S = 4.0
+DEFAULT_IDLE_TIMEOUT_S = 4.0
 """Idle time after which a connection isn't used again, if the target told nothing."""
-REUSE_MARGIN_S = 1.0
+IDLE_TIMEOUT_MARGIN_S = 1.0
 """How much earlier than the target's own timeout; a call that crosses the close is lost."""
-MAX_ANSWER_BYTES = 15 << 20
-"""Bound on one answer's body; a frame between nodes holds it whole."""
+MAX_RESPONSE_BYTES = 15 << 20
+"""Bound on one response's body; a frame between nodes holds it whole."""
 REFUSAL_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that tell callers that a call did not run."""
-SUCCESS = range(200, 300)
-_DROPPED = HOP_BY_HOP_HEADERS | {"server", "date"}
+SUCCESS_STATUSES = range(200, 300)
+_DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {"server", "date"}
 
 
 class TargetClient:
@@ -39,7 +39,7 @@
     def __init__(self, endpoint: Endpoint, target_id: str, names: HeaderNames) -> None:
         self._endpoint = endpoint
         self._target_id = target_id
-        self._names = names
+        self._header_names = names
         self._id_header = names.request_id.lower()
         self._signature_header = names.signature.lower()
         self._not_run_header = names.not_run.lower()
@@ -61,74 +61,80 @@
         A cancelled call closes its connection, which tells the target.
         """
         loop = asyncio.get_running_loop()
-        connection = self._take_idle(loop.time())
+        connection = self._acquire_idle(loop.time())
         if connection is None:
             connection = await self._connect(call.deadline)
         if connection is None:
             return not_run(f"no connection to the target at {self._endpoint}")
-        left_ms = int((call.deadline - loop.time()) * 1000)
-        if left_ms < 1:
-            self._put_back(connection)
+        remaining_ms = int((call.deadline - loop.time()) * 1000)
+        if remaining_ms < 1:
+            self._release(connection)
             return not_run("no time left")
         try:
             async with asyncio.timeout_at(call.deadline):
-                answer = await connection.exchange(
-                    call.method, call.path, self._headers(call, left_ms), call.body, call.request_id
+                response = await connection.exchange(
+                    call.method,
+                    call.path,
+                    self._headers(call, remaining_ms),
+                    call.body,
+                    call.request_id,
                 )
         except TimeoutError:
             return unknown("the target did not answer in time")
         except ExchangeError as exc:
             return unknown(f"the target's connection failed: {exc}")
-        self._put_back(connection)
-        return self._judge(call, answer)
+        self._release(connection)
+        return self._classify(call, response)
 
-    def _judge(self, call: Call, answer: RawAnswer) -> CallResult:
-        """Tell a refusal and an unproved success from an answer that may be passed on."""
-        if answer.status == 421:
+    def _classify(self, call: Call, response: RawResponse) -> CallResult:
+        """Tell a refusal and an unproved success from an response that may be passed on."""
+        if response.status == 421:
             self.replaced = True
             return not_run("another target has the address", reached_target=True)
-        if answer.header(self._not_run_header) is not None:
-            return not_run(f"the target refused the call with {answer.status}", reached_target=True)
-        if answer.status in SUCCESS:
-            if answer.header(self._signature_header) is None:
+        if response.header(self._not_run_header) is not None:
+            return not_run(
+                f"the target refused the call with {response.status}", reached_target=True
+            )
+        if response.status in SUCCESS_STATUSES:
+            if response.header(self._signature_header) is None:
                 return unknown("a success without the target's signature")
-            if answer.header(self._id_header) != call.request_id:
+            if response.header(self._id_header) != call.request_id:
                 return unknown("a success without the call's id")
-            if answer.header("content-encoding") is not None:
+            if response.header("content-encoding") is not None:
                 return unknown("a success with an encoded body")
-        if answer.status in REFUSAL_STATUSES and not call.idempotent:
+        if response.status in REFUSAL_STATUSES and not call.idempotent:
             # Passed on it would say that the call didn't run.
-            return unknown(f"the target ran the call and answered {answer.status}")
-        headers = tuple(item for item in answer.headers if item[0] not in _DROPPED)
-        return Response(answer.status, headers, answer.body).as_result()
+            return unknown(f"the target ran the call and answered {response.status}")
+        headers = tuple(item for item in response.headers if item[0] not in _DROPPED_HEADERS)
+        return Response(response.status, headers, response.body).as_result()
 
-    def _headers(self, call: Call, left_ms: int) -> list[tuple[str, str]]:
-        names = self._names
+    def _headers(self, call: Call, remaining_ms: int) -> list[tuple[str, str]]:
+        names = self._header_names
         headers = [
             *call.headers,
             (names.request_id, call.request_id),
             (names.caller_service, call.tenant),
-            (names.timeout_ms, str(left_ms)),
+            (names.timeout_ms, str(remaining_ms)),
             (names.expected_target, self._target_id),
         ]
         if call.body or call.method not in {"GET", "HEAD", "DELETE", "OPTIONS"}:
             headers.append(("Content-Length", str(len(call.body))))
         return headers
 
-    def _take_idle(self, now: float) -> TargetConnection | None:
+    def _acquire_idle(self, now: float) -> TargetConnection | None:
         while self._idle:
             connection = self._idle.pop()
             if not connection.reusable:
                 continue
-            limit_s = DEFAULT_REUSE_S
+            limit_s = DEFAULT_IDLE_TIMEOUT_S
             if connection.keep_alive_s is not None:
-                limit_s = max(0.0, connection.keep_alive_s - REUSE_MARGIN_S)
+                limit_s = max(0.0, connection.keep_alive_s - IDLE_TIMEOUT_MARGIN_S)
             if now - connection.idle_since < limit_s:
                 return connection
             connection.close()
         return None
 
-    def _put_back(self, connection: TargetConnection) -> None:
+    def _release(self, connection: TargetConnection) -> None:
         if connection.reusable:
             connection.idle_since = asyncio.get_running_loop().time()
             self._idle.append(connection)
@@ -138,7 +144,7 @@
         try:
             async with asyncio.timeout_at(min(deadline, loop.time() + CONNECT_TIMEOUT_S)):
                 transport, connection = await loop.create_connection(
-                    lambda: TargetConnection(self._id_header, MAX_ANSWER_BYTES),
+                    lambda: TargetConnection(self._id_header, MAX_RESPONSE_BYTES),
                     self._endpoint.address,
                     self._endpoint.port,
                 )
@@ -147,5 +153,5 @@
             return None
         self.unreachable = False
         raw = transport.get_extra_info("socket")
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         return connection
--- a/tests/sidecar/test_exchange.py
+++ b/tests/sidecar/test_exchange.py
@@ -5,7 +5,7 @@
 import unittest
 
 from bulrushflow.sidecar.exchange import ExchangeError
-from bulrushflow.sidecar.exchange import RawAnswer
+from bulrushflow.sidecar.exchange import RawResponse
 from bulrushflow.sidecar.exchange import TargetConnection
 from tests.waiting import until
 
@@ -39,7 +39,7 @@
     async def _close(self, server: asyncio.Server) -> None:
         server.close()
 
-    async def call(self, connection: TargetConnection, call_id: str) -> RawAnswer:
+    async def call(self, connection: TargetConnection, call_id: str) -> RawResponse:
         headers = [("Host", "h"), ("X-Id", call_id)]
         return await connection.exchange("GET", "/a", headers, b"", call_id)
 
--- a/tests/sidecar/test_slots.py
+++ b/tests/sidecar/test_slots.py
@@ -2,19 +2,21 @@
 import unittest
 
 from bulrushflow.sidecar.slots import SlotPool
-from bulrushflow.sidecar.slots import Wait
+from bulrushflow.sidecar.slots import SlotRequest
 
 
 class SlotsTests(unittest.IsolatedAsyncioTestCase):
-    def wait(self, priority: int = 0, route: str = "r", useful_s: float = 5.0) -> Wait:
+    def wait(
+        self, priority: int = 0, route: str = "r", latency_objective_s: float = 5.0
+    ) -> SlotRequest:
         now = asyncio.get_running_loop().time()
-        return Wait(route, priority, now + useful_s, now + 5.0)
+        return SlotRequest(route, priority, now + latency_objective_s, now + 5.0)
 
-    async def serve(self, slots: SlotPool, waits: list[Wait]) -> list[tuple[str, int]]:
+    async def serve(self, slots: SlotPool, waits: list[SlotRequest]) -> list[tuple[str, int]]:
         """Return the order in which calls that wait get the only slot."""
         order: list[tuple[str, int]] = []
 
-        async def run(wait: Wait) -> None:
+        async def run(wait: SlotRequest) -> None:
             if await slots.acquire(wait) is None:
                 order.append((wait.route, wait.priority))
                 slots.release(wait.route, None)
@@ -45,8 +47,8 @@
         await slots.acquire(self.wait())
         slots.release("r", 2.0)
         await slots.acquire(self.wait())
-        self.assertIsNotNone(await slots.acquire(self.wait(useful_s=2.5)))
-        waiting = asyncio.ensure_future(slots.acquire(self.wait(useful_s=4.0)))
+        self.assertIsNotNone(await slots.acquire(self.wait(latency_objective_s=2.5)))
+        waiting = asyncio.ensure_future(slots.acquire(self.wait(latency_objective_s=4.0)))
         await asyncio.sleep(0)
         self.assertEqual(slots.queued, 1)
         slots.refuse_queued("end")
@@ -58,14 +60,20 @@
             await slots.acquire(self.wait())
             slots.release(route, 0.5)
         await slots.acquire(self.wait())
-        waits = [self.wait(0, "late", useful_s=0.1), self.wait(2, "in time", useful_s=4.0)]
+        waits = [
+            self.wait(0, "late", latency_objective_s=0.1),
+            self.wait(2, "in time", latency_objective_s=4.0),
+        ]
         order = await self.serve(slots, waits)
         self.assertEqual(order, [("in time", 2), ("late", 0)])
 
     async def test_a_call_that_became_late_while_it_waited_is_served_after_the_others(self) -> None:
         slots = SlotPool(1)
         await slots.acquire(self.wait())
-        waits = [self.wait(0, "first", useful_s=0.1), self.wait(0, "second", useful_s=4.0)]
+        waits = [
+            self.wait(0, "first", latency_objective_s=0.1),
+            self.wait(0, "second", latency_objective_s=4.0),
+        ]
         tasks = [asyncio.ensure_future(slots.acquire(wait)) for wait in waits]
         await asyncio.sleep(0.1)
         slots.release("r", None)
@@ -77,7 +85,7 @@
     async def test_a_late_call_gives_its_place_in_a_full_queue_to_one_in_time(self) -> None:
         slots = SlotPool(1)
         await slots.acquire(self.wait())
-        late = asyncio.ensure_future(slots.acquire(self.wait(useful_s=0.0)))
+        late = asyncio.ensure_future(slots.acquire(self.wait(latency_objective_s=0.0)))
         others = [asyncio.ensure_future(slots.acquire(self.wait())) for _ in range(4)]
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -92,7 +100,7 @@
         slots.release("r", 100.0)
         await slots.acquire(self.wait(0, "other"))
         now = asyncio.get_running_loop().time()
-        waiting = slots.acquire(Wait("r", 0, now + 1000.0, now + 50.1))
+        waiting = slots.acquire(SlotRequest("r", 0, now + 1000.0, now + 50.1))
         refusal = await asyncio.wait_for(waiting, 40.0)
         self.assertEqual(refusal, "the deadline can't be met any more")
 
@@ -101,9 +109,11 @@
         await slots.acquire(self.wait())
         slots.release("r", 1.0)
         now = asyncio.get_running_loop().time()
-        self.assertIsNone(await slots.acquire(Wait("r", 0, now + 0.3, now + 0.3)), "it is idle")
-        self.assertIsNotNone(await slots.acquire(Wait("r", 0, now + 0.3, now + 0.3)))
-        self.assertIsNone(await slots.acquire(Wait("r", 0, now + 0.3, now + 0.9)))
+        self.assertIsNone(
+            await slots.acquire(SlotRequest("r", 0, now + 0.3, now + 0.3)), "it is idle"
+        )
+        self.assertIsNotNone(await slots.acquire(SlotRequest("r", 0, now + 0.3, now + 0.3)))
+        self.assertIsNone(await slots.acquire(SlotRequest("r", 0, now + 0.3, now + 0.9)))
 
     async def test_a_cancelled_wait_leaves_no_slot_behind(self) -> None:
         slots = SlotPool(1)
