--- a/src/bulrushflow/sidecar/callers.py
+++ b/src/bulrushflow/sidecar/callers.py
@@ -24,13 +24,13 @@
 from bulrushflow.sidecar.model import Route
 from bulrushflow.sidecar.model import Routing
 
-IDLE_S = 75.0
+KEEPALIVE_TIMEOUT_S = 75.0
 """Idle time after which a caller's connection is closed; callers leave earlier."""
 MAX_LINE_BYTES = 64 << 10
 MIN_RETRY_AFTER_S = 0.05
 MAX_RETRY_AFTER_S = 0.3
 """Spread of the waits that refused callers are told, so that they don't come back together."""
-NOT_SET_S = 60.0
+DEFAULT_TIMEOUT_S = 60.0
 """Time that a call without a timeout of its caller has; the route's timeout is shorter."""
 _STATUS_BY_OUTCOME = {
     Outcome.NOT_RUN: 503,
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        names: HeaderNames,
+        header_names: HeaderNames,
         routing: t.Callable[[], Routing],
         own_service: t.Callable[[], str],
         dispatcher: Dispatcher,
@@ -53,12 +53,12 @@
         decisions: DecisionLog,
         rng: random.Random,
     ) -> None:
-        self._names = names
-        self._own_headers = HOP_BY_HOP_HEADERS | {
-            names.request_id.lower(),
-            names.timeout_ms.lower(),
-            names.caller_service.lower(),
-            names.expected_target.lower(),
+        self._header_names = header_names
+        self._stripped_headers = HOP_BY_HOP_HEADERS | {
+            header_names.request_id.lower(),
+            header_names.timeout_ms.lower(),
+            header_names.caller_service.lower(),
+            header_names.expected_target.lower(),
         }
         self._routing = routing
         self._own_service = own_service
@@ -79,17 +79,17 @@
             handler_cancellation=True,
             access_log=None,
             auto_decompress=False,
-            keepalive_timeout=IDLE_S,
+            keepalive_timeout=KEEPALIVE_TIMEOUT_S,
             max_line_size=MAX_LINE_BYTES,
             max_field_size=MAX_LINE_BYTES,
         )
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if self.closed:
-            request_id = request.headers.get(self._names.request_id, "")
-            refusal = self._refusal(request_id, 503, "this node stops")
-            refusal.force_close()
-            return refusal
+            request_id = request.headers.get(self._header_names.request_id, "")
+            rejection = self._error_response(request_id, 503, "this node stops")
+            rejection.force_close()
+            return rejection
         self.in_flight += 1
         try:
             response = await self._serve(request)
@@ -102,7 +102,7 @@
                 # The caller left in the moment of the answer.
                 self._decisions.event(
                     "caller left before its answer",
-                    request=request.headers.get(self._names.request_id),
+                    request=request.headers.get(self._header_names.request_id),
                     status=response.status,
                 )
             return response
@@ -111,10 +111,10 @@
 
     async def _serve(self, request: web.BaseRequest) -> web.Response:
         started_at = asyncio.get_running_loop().time()
-        request_id = request.headers.get(self._names.request_id, "")
+        request_id = request.headers.get(self._header_names.request_id, "")
         routing = self._routing()
         if not routing.version:
-            return self._refusal(request_id, 503, "no configuration yet")
+            return self._error_response(request_id, 503, "no configuration yet")
         route = routing.match(request.headers.get("Host", "").lower(), request.raw_path)
         if route is None:
             self._decisions.event(
@@ -124,21 +124,21 @@
                 path=request.raw_path,
                 configuration=routing.version,
             )
-            return self._refusal(request_id, 404, "no route")
+            return self._error_response(request_id, 404, "no route")
         if not request_id:
-            return self._refusal(request_id, 400, f"no {self._names.request_id}")
+            return self._error_response(request_id, 400, f"no {self._header_names.request_id}")
         match await read_body(request, routing.limits.max_body_bytes):
             case Err(reason):
-                return self._refusal(request_id, 413, reason)
+                return self._error_response(request_id, 413, reason)
             case Ok(body):
                 pass
-        call = self._call(request, route, body, started_at)
-        result = await self._run(route, call)
+        call = self._build_call(request, route, body, started_at)
+        result = await self._dispatch(route, call)
         seconds = asyncio.get_running_loop().time() - started_at
         self._metrics.observe_call(route.name, call.service, outcome_label(result), seconds)
-        return self._response(call, result, routing.version, seconds)
+        return self._result_response(call, result, routing.version, seconds)
 
-    async def _run(self, route: Route, call: Call) -> CallResult:
+    async def _dispatch(self, route: Route, call: Call) -> CallResult:
         try:
             return await self._dispatcher.dispatch(route, call)
         except asyncio.CancelledError:
@@ -146,26 +146,32 @@
             self._decisions.failed(call, "cancelled", reason="the caller left")
             raise
 
-    def _call(self, request: web.BaseRequest, route: Route, body: bytes, started_at: float) -> Call:
+    def _build_call(
+        self, request: web.BaseRequest, route: Route, body: bytes, started_at: float
+    ) -> Call:
         headers = request.headers
-        left_s = min(_seconds(headers.get(self._names.timeout_ms)), route.timeout_s)
+        timeout_s = min(
+            _parse_timeout_s(headers.get(self._header_names.timeout_ms)), route.timeout_s
+        )
         return Call(
-            request_id=headers[self._names.request_id],
+            request_id=headers[self._header_names.request_id],
             tenant=self._own_service(),
             service=self._dispatcher.choose_service(route),
             version="",
             route=route.name,
             method=request.method,
             path=request.raw_path,
-            headers=tuple((k, v) for k, v in headers.items() if k.lower() not in self._own_headers),
+            headers=tuple(
+                (k, v) for k, v in headers.items() if k.lower() not in self._stripped_headers
+            ),
             body=body,
-            deadline=started_at + left_s,
+            deadline=started_at + timeout_s,
             idempotent=route.idempotent,
             priority=route.priority,
             late_after=started_at + route.latency_objective_s,
         )
 
-    def _response(
+    def _result_response(
         self, call: Call, result: CallResult, version: int, seconds: float
     ) -> web.Response:
         match result:
@@ -177,16 +183,16 @@
                     configuration=version,
                     seconds=round(seconds, 3),
                 )
-                return self._passed_on(call, answer)
+                return self._forward_response(call, answer)
             case Err(failure):
-                return self._failure(call, failure, version, seconds)
+                return self._failure_response(call, failure, version, seconds)
 
-    def _passed_on(self, call: Call, answer: Response) -> web.Response:
+    def _forward_response(self, call: Call, answer: Response) -> web.Response:
         headers = CIMultiDict(answer.headers)
-        headers[self._names.request_id] = call.request_id
+        headers[self._header_names.request_id] = call.request_id
         return web.Response(status=answer.status, headers=headers, body=answer.body)
 
-    def _failure(
+    def _failure_response(
         self, call: Call, failure: CallFailure, version: int, seconds: float
     ) -> web.Response:
         status = _STATUS_BY_OUTCOME[failure.outcome]
@@ -203,20 +209,20 @@
             configuration=version,
             seconds=round(seconds, 3),
         )
-        return self._refusal(call.request_id, status, failure.reason)
+        return self._error_response(call.request_id, status, failure.reason)
 
-    def _refusal(self, request_id: str, status: int, reason: str) -> web.Response:
+    def _error_response(self, request_id: str, status: int, reason: str) -> web.Response:
         response = web.json_response({"error": reason}, status=status)
         if request_id:
-            response.headers[self._names.request_id] = request_id
+            response.headers[self._header_names.request_id] = request_id
         if status == 503:
             wait_s = self._rng.uniform(MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S)
             response.headers["Retry-After"] = f"{wait_s:.2f}"
         return response
 
 
-def _seconds(text: str | None) -> float:
+def _parse_timeout_s(text: str | None) -> float:
     """Return the seconds in a header with milliseconds."""
     if text is None or not (text.isascii() and text.isdigit()):
-        return NOT_SET_S
-    return min(NOT_SET_S, int(text[:9]) / 1000)
+        return DEFAULT_TIMEOUT_S
+    return min(DEFAULT_TIMEOUT_S, int(text[:9]) / 1000)
--- a/src/bulrushflow/sidecar/forwarding.py
+++ b/src/bulrushflow/sidecar/forwarding.py
@@ -19,10 +19,10 @@
 from bulrushflow.wire import codec
 from bulrushflow.wire.links import Links
 
-CALL_CONNECT_S = 0.3
+CONNECT_TIMEOUT_S = 0.3
 """Longest wait of a call for a connection; another target is tried instead."""
-FIRST_RECHECK_S = 0.02
-MAX_RECHECK_S = 1.5
+MIN_RECHECK_INTERVAL_S = 0.02
+MAX_RECHECK_INTERVAL_S = 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,15 +45,15 @@
     def __init__(
         self,
         links: Links,
-        gate: AdmissionController,
+        admission: AdmissionController,
         orders: Replica,
         is_current: t.Callable[[Peer], bool],
         decisions: DecisionLog,
     ) -> None:
         self._links = links
-        self._gate = gate
+        self._admission = admission
         self._orders = orders
-        self._is_known = is_current
+        self._is_current = is_current
         self._decisions = decisions
         self._rechecks: set[asyncio.Task[None]] = set()
         links.handle("call_request", self._serve)
@@ -61,13 +61,15 @@
     async def send(self, endpoint: tuple[str, int], call: Call) -> tuple[CallResult, PeerReport]:
         """Run a call through another node."""
         now = asyncio.get_running_loop().time()
-        left_s = call.deadline - now
-        if left_s <= 0:
+        remaining_s = call.deadline - now
+        if remaining_s <= 0:
             return refused("no time left"), PeerReport(True, 0.0)
-        request = codec.call_to_message(call, left_s)
+        request = codec.call_to_message(call, remaining_s)
         request.read_offset = self._orders.offset
         request.useful_ms = max(0, int((call.late_after - now) * 1000))
-        match await self._links.exchange(endpoint, left_s, CALL_CONNECT_S, call_request=request):
+        match await self._links.exchange(
+            endpoint, remaining_s, CONNECT_TIMEOUT_S, call_request=request
+        ):
             case Err(error):
                 result = (unknown if error.sent else not_run)(error.reason)
                 return result, PeerReport(False)
@@ -75,12 +77,12 @@
                 answer = frame.call_answer
             case _:
                 return unknown("the other node answered something else"), PeerReport(False)
-        self._orders.hint(answer.read_offset or 0)
+        self._orders.note_peer_offset(answer.read_offset or 0)
         load = answer.in_flight / answer.capacity if answer.capacity else None
         return codec.result_from_message(answer), PeerReport(True, load)
 
     @property
-    def rechecking(self) -> int:
+    def recheck_count(self) -> int:
         """Nodes that are looked for."""
         return len(self._rechecks)
 
@@ -103,20 +105,20 @@
             task.cancel()
 
     async def _recheck(self, peer: Peer) -> None:
-        wait_s = FIRST_RECHECK_S
-        while self._is_known(peer):
+        wait_s = MIN_RECHECK_INTERVAL_S
+        while self._is_current(peer):
             if await self._links.reach(peer.entry.endpoint):
                 peer.unreachable = False
                 self._decisions.event("node reached", node=peer.entry.node_id)
                 return
             await asyncio.sleep(wait_s)
-            wait_s = min(MAX_RECHECK_S, wait_s * 2)
+            wait_s = min(MAX_RECHECK_INTERVAL_S, wait_s * 2)
 
     async def _serve(self, message: t.Any) -> dict[str, t.Any]:
-        self._orders.hint(message.read_offset or 0)
+        self._orders.note_peer_offset(message.read_offset or 0)
         call = codec.call_from_message(message, asyncio.get_running_loop().time())
-        result = await self._gate.run(call)
-        gate = self._gate
-        answer = codec.result_to_message(result, gate.load, gate.capacity)
+        result = await self._admission.run(call)
+        admission = self._admission
+        answer = codec.result_to_message(result, admission.load, admission.capacity)
         answer.read_offset = self._orders.offset
         return {"call_answer": answer}
--- a/tests/sidecar/test_forwarding.py
+++ b/tests/sidecar/test_forwarding.py
@@ -24,14 +24,14 @@
 
 
 class Node:
-    """One node's connections and gate on loopback."""
+    """One node's connections and admission on loopback."""
 
     def __init__(self) -> None:
         decisions = DecisionLog()
         self.directory = Directory()
         self.timers = Timers(random.Random(1))
         self.links = Links("127.0.0.1", 0, self.timers)
-        self.gate = AdmissionController(
+        self.admission = AdmissionController(
             NAMES,
             lambda service, version: False,
             lambda call, failed, seconds: None,
@@ -44,7 +44,7 @@
         follower = mock.Mock()
         orders = Replica(store, "orders", follower, decisions, random.Random(1))
         self.peers = PeerForwarder(
-            self.links, self.gate, orders, self.directory.is_current, decisions
+            self.links, self.admission, orders, self.directory.is_current, decisions
         )
 
     async def start(self) -> None:
@@ -53,7 +53,7 @@
 
     async def stop(self) -> None:
         self.peers.close()
-        self.gate.close()
+        self.admission.close()
         await self.timers.stop()
         await self.links.stop()
 
@@ -67,7 +67,7 @@
         for node in (self.here, self.there):
             await node.start()
             self.addAsyncCleanup(node.stop)
-        self.there.gate.apply_announcement(target(), endpoint)
+        self.there.admission.apply_announcement(target(), endpoint)
         self.peer = self.known_peer(self.there.links.port)
 
     def known_peer(self, port: int) -> Peer:
@@ -81,7 +81,7 @@
         self.assertEqual((report.reached, report.load), (True, 0.0))
 
     async def test_a_node_without_a_target_has_no_load(self) -> None:
-        self.there.gate.remove_target("t-1")
+        self.there.admission.remove_target("t-1")
         result, report = await self.here.peers.send(self.peer.entry.endpoint, call())
         self.assertIs(result.unwrap_err().outcome, Outcome.NOT_RUN)
         self.assertIsNone(report.load)
@@ -109,5 +109,5 @@
         gone = self.known_peer(1)
         self.here.peers.mark_unreachable(gone)
         self.here.directory.remove("node/1")
-        await until(lambda: not self.here.peers.rechecking)
+        await until(lambda: not self.here.peers.recheck_count)
         self.assertTrue(gone.unreachable)
