--- a/src/bulrushflow/sidecar/admission_controller.py
+++ b/src/bulrushflow/sidecar/admission_controller.py
@@ -1,4 +1,7 @@
-"""Admission to the target beside this node: the only way to it, and the last word on each call."""
+"""Admission control in front of the target beside this node.
+
+Every call to the target passes through it, whether it comes from this node or from another one.
+"""
 
 import asyncio
 import collections
@@ -23,18 +26,23 @@
 from bulrushflow.timers import Clock
 
 MAX_DEPARTED_TARGETS = 64
-"""Targets that left and whose late announcements are recognized."""
+"""Departed targets that are remembered so that their delayed announcements are rejected."""
 
 ResponseObserver = t.Callable[[Call, bool, float], None]
 EntryCallback = t.Callable[[TargetEntry | None], None]
 
 
 class AdmissionController:
-    """Holds the target's slots, and refuses a call before it is sent.
+    """Tracks the target, and refuses calls that it can't or may not serve before they are sent.
+
+    A call is checked against the target's state and version, waits for a slot, is checked again,
+    and is charged to the retry budget before it is sent.
 
-    :param is_forbidden: tells whether a version of a service may get no new calls.
-    :param observer: told of each answer of the target: the call, whether it failed, its seconds.
-    :param on_change: told when the others have to know another entry.
+    :param is_forbidden: returns whether a version of a service may receive no new calls.
+    :param observer: called after each call that may have run, with the call, whether it failed, and
+        the seconds it took.
+    :param on_change: called with the new entry, or ``None`` without a target, when other nodes have
+        to be informed.
     """
 
     def __init__(
@@ -64,27 +72,31 @@
 
     @property
     def load(self) -> int:
-        """Slots in use, and calls that wait for one."""
+        """Number of slots in use plus calls that wait for one."""
         return self._slots.load
 
     @property
     def capacity(self) -> int:
-        """Slots of the target; 0 while it takes no calls."""
+        """Number of the target's slots; 0 while it accepts no calls."""
         return self._slots.capacity if self._accepts_calls() else 0
 
     @property
     def in_flight(self) -> int:
-        """Calls at the target."""
+        """Number of calls that were sent to the target and have not ended."""
         return len(self._running)
 
     def apply_announcement(self, entry: TargetEntry, endpoint: Endpoint) -> bool:
-        """Take the target's word on itself; ``False`` when a newer word is current already."""
+        """Apply a target's announcement.
+
+        :return: whether it was accepted; ``False`` when the target departed or a newer revision is
+            known.
+        """
         current = self.entry
         departed = self._departed.get(entry.target_id)
         if departed is not None and entry.incarnation <= departed[0]:
             return False
         if current is not None and entry.revision <= current.revision:
-            # A word that was late, perhaps of a process that ended.
+            # A delayed announcement, perhaps from a process that has ended since.
             return entry.revision == current.revision
         replaced = current is None or current.target_id != entry.target_id
         replaced = replaced or t.cast(TargetEntry, current).incarnation != entry.incarnation
@@ -114,10 +126,10 @@
         return True
 
     def remove_target(self, target_id: str) -> None:
-        """Take the word of a target that it leaves for good; it gets no new calls."""
+        """Remove a target that departs for good; it receives no new calls."""
         current = self.entry
         if current is None or current.target_id != target_id:
-            # Its incarnation isn't known, but it began before now.
+            # Its incarnation, a start time, is unknown but can't be later than now.
             self._remember_departed(target_id, (self._clock.wall_ms(), 0))
             return
         self._remember_departed(target_id, current.revision)
@@ -127,7 +139,7 @@
         self._on_change(None)
 
     async def run(self, call: Call) -> CallResult:
-        """Run a call on the target, or refuse it with the certainty that it did not run."""
+        """Run a call on the target, or refuse it; a refused call certainly did not run."""
         refusal = self._refusal(call)
         slots = self._slots
         if refusal is None:
@@ -141,7 +153,7 @@
         return not_run(refusal)
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the idle connections to the target."""
         if self._client is not None:
             self._client.close()
 
@@ -154,17 +166,19 @@
         if entry is None:
             return "no target"
         if not self.reachable:
-            return "the target takes no connections"
+            return f"the target takes no connections at {self.endpoint}"
         if entry.state is not TargetState.READY:
             return "the target takes no new calls"
         if (entry.service, entry.version) != (call.service, call.version):
-            return f"the target is {entry.service} {entry.version}"
+            return (
+                f"the target is {entry.service} {entry.version}, not {call.service} {call.version}"
+            )
         if self._is_forbidden(call.service, call.version):
             return f"version {call.version} was taken back"
         return None
 
     def _refusal_after_wait(self, call: Call, slots: SlotPool) -> str | None:
-        """Tell why a call that has its slot may not be sent."""
+        """Return why a call that was granted a slot may not be sent, or ``None``."""
         if slots is not self._slots:
             return "the target was replaced"
         return self._refusal(call) or self._retry_refusal(call)
@@ -183,7 +197,8 @@
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            # What may run only once is left to finish; anything else stops at the target too.
+            # A call that isn't idempotent is left to finish, since it may be running already.
+            # Cancelling an idempotent one closes its connection, which cancels it at the target.
             if call.idempotent:
                 task.cancel()
             raise
@@ -197,11 +212,11 @@
             result = await client.send(call)
             seconds = loop.time() - started_at
         finally:
-            # These slots may be a replaced target's by now.
+            # Release to the pool that granted the slot; self._slots may belong to another target.
             slots.release(call.route, seconds if seconds and result.is_ok() else None)
         match result:
-            case Ok(answer):
-                self._observer(call, answer.is_failure, seconds)
+            case Ok(response):
+                self._observer(call, response.is_failure, seconds)
             case Err(failure):
                 if failure.outcome is Outcome.UNKNOWN:
                     self._observer(call, True, seconds)
@@ -212,11 +227,11 @@
         if client is not self._client or self.entry is None:
             return
         if client.replaced:
-            self._drop_target("another target has the address")
+            self._drop_target(f"another target answers at {self.endpoint}")
         elif client.unreachable and self.reachable:
             self._decisions.event("target unreachable", target=self.entry.target_id)
             self.reachable = False
-            self._slots.refuse_queued("the target takes no connections")
+            self._slots.refuse_queued(f"the target takes no connections at {self.endpoint}")
 
     def _drop_target(self, reason: str) -> None:
         entry = t.cast(TargetEntry, self.entry)
@@ -226,8 +241,8 @@
         self._slots.refuse_queued(reason)
         self._on_change(None)
 
-    def _remember_departed(self, target_id: str, order: tuple[int, int]) -> None:
-        self._departed[target_id] = order
+    def _remember_departed(self, target_id: str, revision: tuple[int, int]) -> None:
+        self._departed[target_id] = revision
         while len(self._departed) > MAX_DEPARTED_TARGETS:
             self._departed.popitem(last=False)
 
@@ -245,7 +260,7 @@
 
 
 def _same_for_peers(current: TargetEntry, entry: TargetEntry) -> bool:
-    """Tell whether the others know all of an entry already."""
+    """Return whether two entries are equal in the fields that other nodes act on."""
     return (current.service, current.version, current.slots, current.state) == (
         entry.service,
         entry.version,
--- a/src/bulrushflow/sidecar/exchange.py
+++ b/src/bulrushflow/sidecar/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to the target: a call at a time, its answer checked to the last byte."""
+"""An HTTP/1.1 client connection to the target that carries one request at a time."""
 
 import asyncio
 import typing as t
@@ -11,28 +11,30 @@
 
 @dataclass(frozen=True, slots=True)
 class RawResponse:
-    """A whole answer; header names are in lower case."""
+    """A complete HTTP response; header names are in lower case."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """Return the first value of a header, by its name in lower case."""
+        """Return the first value of a header; ``name`` is in lower case."""
         return next((value for key, value in self.headers if key == name), None)
 
 
 class ExchangeError(Exception):
-    """The connection ended, or brought something that is no whole answer."""
+    """Raised when the connection ends or fails before a complete response to the request."""
 
 
 class TargetConnection(asyncio.Protocol):
-    """A connection that carries one exchange after the other.
+    """A persistent connection that carries one request and response after the other.
 
-    The HTTP client of aiohttp is not used here: it sends some requests again by itself when a kept
-    connection fails, and takes a reset for the end of an answer without a length. h11 only parses.
+    aiohttp's client is not used because it retries some requests on its own when a persistent
+    connection fails, and takes a connection reset for the end of a response without a length. h11
+    does the parsing only.
 
-    :param id_header: header, in lower case, that ties an answer to its request.
+    :param id_header: header, in lower case, whose value ties a response to its request.
+    :param max_body_bytes: limit on the body of a response.
     """
 
     def __init__(self, id_header: str, max_body_bytes: int) -> None:
@@ -48,7 +50,7 @@
         self.reusable = True
         self.idle_since = 0.0
         self.keep_alive_s: float | None = None
-        """Time after which the target closes an idle connection, if it told so."""
+        """Seconds after which the target closes an idle connection, if its response says so."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = t.cast(asyncio.Transport, transport)
@@ -58,20 +60,20 @@
         if self._waiter is None or self._waiter.done():
             return
         if exc is None:
-            # An answer without a length ends with its connection, unless that was reset.
+            # A response without a length ends with an orderly close, but not with a reset.
             self._feed(b"")
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_exception(ExchangeError(f"connection lost: {exc}"))
 
     def data_received(self, data: bytes) -> None:
         if self._waiter is None or self._waiter.done():
-            # Nothing was asked: an extra answer, or the rest of a broken one.
+            # No request is pending: an extra response, or the rest of a failed one.
             self.close()
             return
         self._feed(data)
 
     def close(self) -> None:
-        """Give the connection up at once."""
+        """Abort the connection; unsent data is discarded."""
         self.reusable = False
         if self._transport is not None:
             self._transport.abort()
@@ -84,11 +86,12 @@
         body: bytes,
         call_id: str,
     ) -> RawResponse:
-        """Send a request and return its answer.
+        """Send a request and return its response.
 
-        A cancelled exchange closes the connection, which tells the target.
+        A cancelled exchange closes the connection, so that the target can stop working on it.
 
-        :raises ExchangeError: when no whole answer to this request came.
+        :param call_id: value that the response's id header has to carry, if it has one.
+        :raises ExchangeError: if no complete response to this request arrives.
         """
         if self._transport is None or not self.reusable:
             raise ExchangeError("connection closed before use")
@@ -125,7 +128,7 @@
                     return
                 self._handle_event(event)
         except h11.RemoteProtocolError as exc:
-            self._fail(f"no HTTP answer: {exc}")
+            self._fail(f"malformed HTTP response: {exc}")
 
     def _handle_event(self, event: t.Any) -> None:
         if isinstance(event, h11.Response):
@@ -133,42 +136,42 @@
         elif isinstance(event, h11.Data):
             self._body += event.data
             if len(self._body) > self._max_body_bytes:
-                self._fail("the answer is too large")
+                self._fail(f"response body exceeds {self._max_body_bytes} bytes")
         elif isinstance(event, h11.EndOfMessage):
             self._finish_response()
         elif isinstance(event, h11.ConnectionClosed):
-            self._fail("closed without an answer")
+            self._fail("connection closed without a response")
 
     def _finish_response(self) -> None:
         response = self._response
         if response is None or self._waiter is None:
-            self._fail("an end without an answer")
+            self._fail("end of message without a response")
             return
-        answer = RawResponse(response.status_code, _decode(response.headers), bytes(self._body))
-        if answer.header(self._id_header) not in {None, self._request_id}:
+        result = RawResponse(response.status_code, _decode(response.headers), bytes(self._body))
+        if result.header(self._id_header) not in {None, self._request_id}:
             self._skip_stale_response()
             return
         trailing, _ = self._parser.trailing_data
-        keeps = self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE
-        if trailing or not keeps or self._has_unsent_data():
+        both_done = self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE
+        if trailing or not both_done or self._has_unsent_data():
             self.reusable = False
         else:
             self._parser.start_next_cycle()
-            self.keep_alive_s = _keep_alive_s(answer.header("keep-alive"))
-        self._waiter.set_result(answer)
+            self.keep_alive_s = _keep_alive_s(result.header("keep-alive"))
+        self._waiter.set_result(result)
         if not self.reusable:
             self.close()
 
     def _skip_stale_response(self) -> None:
-        """Pass over a late answer to an earlier call, and go on with what follows it."""
+        """Ignore a late response to an earlier call, and continue with the data that follows it."""
         trailing, closed = self._parser.trailing_data
         if closed or self._parser.their_state is not h11.DONE or self._request is None:
-            self._fail("the answer belongs to another call")
+            self._fail(f"response to another call than {self._request_id}")
             return
         self._parser = h11.Connection(h11.CLIENT, MAX_RESPONSE_HEAD_BYTES)
         self._response = None
         self._body.clear()
-        # The new parser has to know the request, whose bytes are on the wire already.
+        # A new parser must be given the request, whose bytes were sent already.
         self._parser.send(h11.Request(method=self._request.method, target="/", headers=_HOST))
         self._parser.send(h11.EndOfMessage())
         if trailing:
@@ -201,7 +204,7 @@
 
 
 def _keep_alive_s(value: str | None) -> float | None:
-    """Return the seconds in a ``Keep-Alive`` header."""
+    """Return the ``timeout`` parameter of a ``Keep-Alive`` header in seconds."""
     for part in (value or "").split(","):
         name, _, number = part.strip().partition("=")
         if name.lower() == "timeout" and number.isdigit():
--- a/src/bulrushflow/sidecar/retry_budget.py
+++ b/src/bulrushflow/sidecar/retry_budget.py
@@ -1,22 +1,24 @@
-"""The limit on repeated calls that reach a target, so that the fleet keeps its bound together."""
+"""Retry budget of one target: its part of the bound on a service's retries over all nodes."""
 
 import collections
 
 RATIO_FRACTION = 0.3
-"""Part of the allowed ratio that is used here. The rest is for calls that repeated calls make, each
-of which may make several."""
+"""Fraction of the service's ratio that retries of its own use. The rest is left for the calls that
+a retried call makes in turn, which may be several."""
 SLACK_FRACTION = 0.3
+"""Fraction of the service's slack, for the same reason."""
 BUCKET_S = 0.5
-"""Length of the spans that a window is counted in."""
+"""Length of the buckets that the sliding window is counted in."""
 
 
 class TargetRetryBudget:
-    """Counts first and repeated calls at one target over a sliding window.
+    """Bounds the retries delivered to one target, relative to first attempts in a sliding window.
 
-    Each target keeps its part of the service's bound, so that no messages are needed.
+    Each target enforces its part of the service's bound, so nodes need not coordinate.
 
-    :param ratio: repeated calls allowed for each first one, over the service.
-    :param slack: repeated calls allowed in a window beyond the ratio, over the service.
+    :param ratio: retries allowed per first attempt, over the service.
+    :param slack: retries allowed per window beyond the ratio, over the service.
+    :param window_s: length of the window in seconds.
     """
 
     __slots__ = (
@@ -35,21 +37,21 @@
         self._first_attempts = 0.0
         self._retries = 0.0
         self.target_count = 1
-        """Targets of the service that share the slack."""
+        """Number of the service's targets, which share the slack evenly."""
 
     def configure(self, ratio: float, slack: float, window_s: float) -> None:
-        """Put other bounds in force."""
+        """Replace the bounds; calls that were counted already stay counted."""
         self._ratio = ratio * RATIO_FRACTION
         self._slack = slack * SLACK_FRACTION
         self._window_s = window_s
 
     def record_first_attempt(self, now: float) -> None:
-        """Count a call that was not sent to a target before."""
+        """Count a call's first attempt, which replenishes the budget."""
         self._current_bucket(now)[1] += 1
         self._first_attempts += 1
 
     def try_consume(self, now: float) -> bool:
-        """Count a repeated call; ``False`` when it is one too many."""
+        """Consume one retry; ``False`` when the budget is exhausted."""
         bucket = self._current_bucket(now)
         allowed = self._ratio * self._first_attempts + self._slack / max(1, self.target_count)
         if self._retries + 1 > allowed:
--- a/src/bulrushflow/sidecar/slots.py
+++ b/src/bulrushflow/sidecar/slots.py
@@ -1,7 +1,8 @@
-"""The exact slots of one target, with a queue that knows priorities, deadlines and lengths.
+"""A target's concurrency slots, with a queue ordered by priority, deadline and service time.
 
-Calls that can still be answered in time go before those that can't: under overload the late ones
-have little left to lose, and in order of arrival they would make every other call late too.
+Calls that can still meet their latency objective are served before those that can't. Under overload
+the late calls have little left to lose, and first-come-first-served would make every other call
+late too.
 """
 
 import asyncio
@@ -15,44 +16,49 @@
 from bulrushflow.exceptions import InvariantError
 
 SERVICE_TIME_SMOOTHING = 0.1
-"""Weight of the newest call in a smoothed service time."""
+"""Weight of the newest call in the exponential moving average of service times."""
 DEFAULT_SERVICE_TIME_S = 0.05
-"""Taken for the service time of a route before its first answer."""
+"""Service time assumed for a route that has no response yet."""
 MAX_QUEUED_PER_SLOT = 4
+"""Bound on the queue's length, per slot."""
 LATE_WAIT_FRACTION = 0.5
-"""Part of the time left within which a call may be answered though its answer comes late."""
+"""Fraction of the time until the deadline within which a response is still accepted although it
+misses the latency objective."""
 MIN_SERVICE_FRACTION = 0.5
-"""Part of its usual service time that a call needs until its deadline to be worth a start."""
+"""Fraction of its usual service time that must remain until a call's deadline for it to start."""
 SHORT_ROUTE_FRACTION = 0.5
-"""Routes whose calls take less than this part of the longest go first: they delay others little,
-and are mostly made by calls that hold a slot elsewhere."""
+"""Routes whose service time is below this fraction of the longest one go first: they delay others
+little, and their callers mostly hold a slot of another target meanwhile."""
 SHORT_ROUTE_RANK = -1
+"""Rank of calls on short routes, before every priority."""
 MAX_TRACKED_ROUTES = 256
+"""Routes with a service time of their own; further ones use the default."""
 
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """What the queue has to know of a call; times are of the loop's clock."""
+    """The attributes of a call by which it is queued; times are event loop times in seconds."""
 
     route: str
     priority: int
     late_after: float
-    """When the answer loses worth."""
+    """Time after which a response counts as late."""
     deadline: float
 
 
 @dataclass(order=True, slots=True)
 class _QueuedRequest:
-    """A call in the queue; the lower rank goes first, then the earlier arrival."""
+    """A call in the queue. The lowest rank goes first; ties go to the earliest arrival."""
 
     rank: int
     sequence: int
     request: SlotRequest = field(compare=False)
     decision: asyncio.Future[str | None] = field(compare=False)
+    """``None`` once a slot is granted, or the reason for a refusal."""
 
 
 class SlotPool:
-    """Grants slots. A call that can't be answered while it is of use is refused at once."""
+    """Grants slots, and refuses at once a call whose response would come too late."""
 
     __slots__ = (
         "_late_queue",
@@ -69,31 +75,34 @@
         self._sequence = itertools.count()
         self._queue: list[_QueuedRequest] = []
         self._late_queue: collections.deque[_QueuedRequest] = collections.deque()
-        """Waiting calls whose answers lose worth, in the order in which that was found."""
+        """Queued calls that miss their latency objective, in the order in which that was found."""
         self._service_time_by_route: dict[str, float] = {}
 
     @property
     def queued(self) -> int:
-        """Calls that wait for a slot."""
+        """Number of calls that wait for a slot."""
         queued = itertools.chain(self._queue, self._late_queue)
         return sum(1 for item in queued if not item.decision.done())
 
     @property
     def load(self) -> int:
-        """Slots in use, and calls that wait for one."""
+        """Number of slots in use plus calls that wait for one."""
         return self.active + self.queued
 
     def service_time_s(self, route: str) -> float:
-        """Return the smoothed service time of a route's calls."""
+        """Return the smoothed service time of a route's calls in seconds."""
         return self._service_time_by_route.get(route, DEFAULT_SERVICE_TIME_S)
 
     async def acquire(self, request: SlotRequest) -> str | None:
-        """Wait for a slot; return why none was had, or ``None`` with a slot."""
+        """Wait for a slot.
+
+        :return: ``None`` once the slot is granted, else the reason for the refusal.
+        """
         loop = asyncio.get_running_loop()
         now = loop.time()
         service_time_s = self.service_time_s(request.route)
         last_start = request.deadline - service_time_s * MIN_SERVICE_FRACTION
-        # An idle target may be faster than it was.
+        # Not checked on an idle target, which may be faster than its smoothed service time.
         if self.active and now >= last_start:
             return "the deadline can't be met any more"
         queued = self.queued
@@ -117,7 +126,8 @@
                 )
             self._late_queue.append(queued_request)
         try:
-            # From then on an answer can't come in time, but the caller can still be told so.
+            # After the last useful start the deadline can't be met; refusing now still reaches the
+            # caller in time.
             async with asyncio.timeout_at(last_start):
                 return await decision
         except TimeoutError:
@@ -128,19 +138,20 @@
             raise
 
     def release(self, route: str, seconds: float | None) -> None:
-        """Free a slot.
+        """Free a slot, and grant it to the next call.
 
-        :param seconds: how long an answered call held it; ``None`` tells nothing of the target.
+        :param seconds: service time to record; ``None`` when the call got no response.
+        :raises InvariantError: when no slot is in use.
         """
         if self.active <= 0:
-            raise InvariantError("a slot was released twice")
+            raise InvariantError(f"slot released with {self.active} of {self.capacity} in use")
         self.active -= 1
         if seconds is not None:
             self._record_service_time(route, seconds)
         self._grant()
 
     def refuse_queued(self, reason: str) -> None:
-        """Refuse every call that waits."""
+        """Refuse every queued call."""
         queue = [*self._queue, *self._late_queue]
         self._queue.clear()
         self._late_queue.clear()
@@ -164,18 +175,18 @@
         return request.priority
 
     def _expected_wait_s(self, ahead: t.Iterable[_QueuedRequest]) -> float:
-        """Return the time until a slot is free for a call behind others."""
+        """Return the expected seconds until a call behind ``ahead`` gets a slot."""
         work_s = sum(
             self.service_time_s(item.request.route) for item in ahead if not item.decision.done()
         )
-        # The calls that run are half done on average.
+        # Running calls have half of their service time left on average.
         mean_s = sum(self._service_time_by_route.values()) / max(
             1, len(self._service_time_by_route)
         )
         return (work_s + mean_s / 2) / max(1, self.capacity)
 
     def _meets_objective(self, request: SlotRequest, start: float) -> bool:
-        """Tell whether a call that starts then is answered before its answer loses worth."""
+        """Return whether a call that starts at ``start`` meets its latency objective."""
         return start + self.service_time_s(request.route) <= request.late_after
 
     def _grant(self) -> None:
@@ -192,7 +203,7 @@
             queued_request.decision.set_result(None)
 
     def _pop_next(self, now: float) -> _QueuedRequest | None:
-        """Take the next call from the queue: one in time if there is any."""
+        """Remove and return the next call; late calls follow after all calls in time."""
         while self._queue:
             queued_request = heapq.heappop(self._queue)
             if queued_request.decision.done():
@@ -209,7 +220,7 @@
         return None
 
     def _evict_late(self) -> bool:
-        """Refuse the call that is late for the longest time, if there is one."""
+        """Refuse the queued call that became late first; return whether there was one."""
         while self._late_queue:
             decision = self._late_queue.popleft().decision
             if not decision.done():
@@ -218,7 +229,7 @@
         return False
 
     def _cancel(self, decision: asyncio.Future[str | None]) -> None:
-        # The slot may have been granted in the same turn of the loop that ended the request.
+        # The slot may have been granted in the same event loop iteration that ended the wait.
         if decision.done() and not decision.cancelled() and decision.result() is None:
             self.release("", None)
         elif not decision.done():
--- a/src/bulrushflow/sidecar/target_client.py
+++ b/src/bulrushflow/sidecar/target_client.py
@@ -1,4 +1,4 @@
-"""Calls to the target beside this node, over a small pool of connections."""
+"""HTTP client for the target beside this node, with a pool of persistent connections."""
 
 import asyncio
 import socket
@@ -17,40 +17,41 @@
 
 CONNECT_TIMEOUT_S = 0.5
 TCP_USER_TIMEOUT_MS = 1_000
-"""A connection whose packets the target doesn't acknowledge is given up after so long."""
+"""Time after which a connection with unacknowledged data is closed (``TCP_USER_TIMEOUT``)."""
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-"""Idle time after which a connection isn't used again, if the target told nothing."""
+"""Idle time after which a connection isn't reused, if the target sent no ``Keep-Alive`` timeout."""
 IDLE_TIMEOUT_MARGIN_S = 1.0
-"""How much earlier than the target's own timeout; a call that crosses the close is lost."""
+"""How long before the target's keep-alive timeout a connection is no longer reused. A call sent
+while the target closes the connection would be lost."""
 MAX_RESPONSE_BYTES = 15 << 20
-"""Bound on one response's body; a frame between nodes holds it whole."""
+"""Bound on a response body, which has to fit into one frame between nodes."""
 REFUSAL_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that tell callers that a call did not run."""
+"""Statuses that callers take to mean that a call did not run."""
 SUCCESS_STATUSES = range(200, 300)
 _DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {"server", "date"}
 
 
 class TargetClient:
-    """The connections to one target process.
+    """Sends calls to one target process.
 
-    :param target_id: any other target that has the address by now refuses the calls.
+    :param target_id: sent with each call; another process that took over the address refuses it.
     """
 
-    def __init__(self, endpoint: Endpoint, target_id: str, names: HeaderNames) -> None:
+    def __init__(self, endpoint: Endpoint, target_id: str, header_names: HeaderNames) -> None:
         self._endpoint = endpoint
         self._target_id = target_id
-        self._header_names = names
-        self._id_header = names.request_id.lower()
-        self._signature_header = names.signature.lower()
-        self._not_run_header = names.not_run.lower()
+        self._header_names = header_names
+        self._id_header = header_names.request_id.lower()
+        self._signature_header = header_names.signature.lower()
+        self._not_run_header = header_names.not_run.lower()
         self._idle: list[TargetConnection] = []
         self.unreachable = False
-        """Whether the last attempt to connect failed."""
+        """Whether the latest attempt to connect failed."""
         self.replaced = False
-        """Whether another target answered at the address."""
+        """Whether another target responded at the address."""
 
     def close(self) -> None:
-        """Close the idle connections; those in use end with their calls."""
+        """Close the idle connections; calls in progress keep theirs."""
         for connection in self._idle:
             connection.close()
         self._idle.clear()
@@ -58,7 +59,7 @@
     async def send(self, call: Call) -> CallResult:
         """Run a call on the target within its deadline.
 
-        A cancelled call closes its connection, which tells the target.
+        A cancelled call closes its connection, so that the target can stop working on it.
         """
         loop = asyncio.get_running_loop()
         connection = self._acquire_idle(loop.time())
@@ -69,7 +70,7 @@
         remaining_ms = int((call.deadline - loop.time()) * 1000)
         if remaining_ms < 1:
             self._release(connection)
-            return not_run("no time left")
+            return not_run(f"no time left: {remaining_ms} ms until the deadline")
         try:
             async with asyncio.timeout_at(call.deadline):
                 response = await connection.exchange(
@@ -87,10 +88,14 @@
         return self._classify(call, response)
 
     def _classify(self, call: Call, response: RawResponse) -> CallResult:
-        """Tell a refusal and an unproved success from an response that may be passed on."""
+        """Return the call's outcome for the target's response.
+
+        A success counts only with the target's signature and the call's id, since a stale response
+        or another process at the address could send one too.
+        """
         if response.status == 421:
             self.replaced = True
-            return not_run("another target has the address", reached_target=True)
+            return not_run(f"another target answers at {self._endpoint}", reached_target=True)
         if response.header(self._not_run_header) is not None:
             return not_run(
                 f"the target refused the call with {response.status}", reached_target=True
@@ -99,11 +104,15 @@
             if response.header(self._signature_header) is None:
                 return unknown("a success without the target's signature")
             if response.header(self._id_header) != call.request_id:
-                return unknown("a success without the call's id")
+                return unknown(
+                    f"a success without the call's id: got {response.header(self._id_header)}"
+                )
             if response.header("content-encoding") is not None:
-                return unknown("a success with an encoded body")
+                return unknown(
+                    f"a success with an encoded body: {response.header('content-encoding')}"
+                )
         if response.status in REFUSAL_STATUSES and not call.idempotent:
-            # Passed on it would say that the call didn't run.
+            # Forwarded, it would tell the caller that the call did not run.
             return unknown(f"the target ran the call and answered {response.status}")
         headers = tuple(item for item in response.headers if item[0] not in _DROPPED_HEADERS)
         return Response(response.status, headers, response.body).as_result()
