--- a/src/bulrushflow/sidecar/balancer.py
+++ b/src/bulrushflow/sidecar/balancer.py
@@ -1,4 +1,4 @@
-"""Choice of the target for one attempt: local ones first, by expected time to an answer."""
+"""Load balancing: the choice of the target for one attempt."""
 
 import random
 import typing as t
@@ -6,26 +6,30 @@
 from bulrushflow.sidecar.directory import Peer
 
 LOCAL_LATENCY_FRACTION = 0.8
-"""Part of the useful time within which a loaded local target has to answer to be preferred; calls
-between data centres cost more than some waiting."""
+"""Fraction of the latency objective within which a loaded local target must be expected to respond
+to be preferred. Some waiting costs less than a call between data centres."""
 FAST_QUANTILE = 0.25
-"""Part of a service's targets that are faster than what counts as fast; one that was lucky in a few
-calls is no measure."""
+"""Quantile of a service's latencies that counts as fast. The minimum would not do, since one target
+may have had a few fast calls by chance."""
 SLOW_FACTOR = 3.0
-"""Times the latency of a fast target from which a local one with free slots isn't preferred."""
+"""Multiple of the fast latency above which a local target isn't preferred for its free slots
+alone."""
 REMOTE_COST_FACTOR = 1.5
-"""Times its expected time that a target elsewhere counts with, where none has free slots: bytes
-between data centres are not worth a small gain."""
+"""Factor on the cost of a remote target when no target has free slots. A small gain in latency is
+not worth the traffic between data centres."""
 WARM_UP_FACTOR = 2.0
-"""How much slower a target is taken to be while it warms up."""
+"""Factor on the expected latency of a target that is warming up."""
 DEFAULT_LATENCY_S = 0.05
-"""Taken for targets while none of them has answered yet."""
+"""Latency assumed while no target of the service has responded yet."""
 MAX_EJECTED_FRACTION = 0.5
-"""Part of a service's targets that may be ejected at once, so that the rest isn't drowned."""
+"""Fraction of a service's targets that may be ejected at once, lest the rest be overloaded."""
 
 
 class Balancer:
-    """Power of two choices on expected time, own data centre first."""
+    """Power of two random choices by expected latency; prefers targets of the own data centre.
+
+    :param wall_ms: returns the current time in epoch milliseconds.
+    """
 
     __slots__ = ("_data_centre", "_rng", "_wall_ms")
 
@@ -41,10 +45,11 @@
         now: float,
         latency_objective_s: float,
     ) -> Peer | None:
-        """Return a peer for one attempt; ``None`` when none is available.
+        """Return a peer for one attempt, or ``None`` when none is available.
 
-        :param excluded: addresses of nodes that refused this call already.
-        :param latency_objective_s: time in which an answer has its full worth.
+        :param excluded: addresses of nodes that this call was sent to already.
+        :param now: event loop time in seconds.
+        :param latency_objective_s: seconds within which the response is in time.
         """
         available = [
             peer
@@ -58,7 +63,7 @@
         healthy = [peer for peer in available if peer.ejected_until <= now]
         if len(healthy) < len(candidates) * MAX_EJECTED_FRACTION:
             healthy = available
-        # A target that has not answered yet counts as a fast one, so that it gets calls.
+        # A target without a measured latency counts as fast, so that it gets calls.
         measured = sorted(peer.latency_s for peer in healthy if peer.latency_s)
         default_latency_s = (
             measured[int(len(measured) * FAST_QUANTILE)] if measured else DEFAULT_LATENCY_S
@@ -81,7 +86,7 @@
     def _is_preferred(
         self, peer: Peer, now: float, default_latency_s: float, latency_objective_s: float
     ) -> bool:
-        """Tell whether a local target is preferred enough not to look further."""
+        """Return whether a local target is good enough not to consider remote ones."""
         if peer.load(now) < 1 and peer.latency_s <= default_latency_s * SLOW_FACTOR:
             return True
         return (
@@ -90,7 +95,7 @@
         )
 
     def _expected_latency_s(self, peer: Peer, now: float, default_latency_s: float) -> float:
-        """Return the expected time to an answer, in seconds."""
+        """Return the expected time to a response, in seconds."""
         latency_s = peer.latency_s or default_latency_s
         target = peer.entry.target
         if target is not None and target.warm_at_ms > self._wall_ms():
@@ -98,12 +103,12 @@
         return latency_s * max(1.0, peer.load(now))
 
     def _overload_cost_s(self, peer: Peer, now: float, default_latency_s: float) -> float:
-        """Return what targets are compared by where calls wait at each of them."""
+        """Return the cost by which targets without free slots are compared."""
         remote = peer.entry.data_centre != self._data_centre
         return self._expected_latency_s(peer, now, default_latency_s) * (
             REMOTE_COST_FACTOR if remote else 1.0
         )
 
     def _cost_s(self, peer: Peer, now: float, default_latency_s: float) -> float:
-        """Return what targets are compared by: free slots count even where nothing waits."""
+        """Return the cost by which other targets are compared; free slots lower it."""
         return self._expected_latency_s(peer, now, default_latency_s) * (1 + peer.load(now))
--- a/src/bulrushflow/sidecar/callers.py
+++ b/src/bulrushflow/sidecar/callers.py
@@ -1,4 +1,4 @@
-"""The HTTP listener for callers on this instance."""
+"""HTTP server for the callers on this instance."""
 
 import asyncio
 import random
@@ -25,13 +25,13 @@
 from bulrushflow.sidecar.model import Routing
 
 KEEPALIVE_TIMEOUT_S = 75.0
-"""Idle time after which a caller's connection is closed; callers leave earlier."""
+"""Idle time after which a caller's connection is closed; callers close theirs earlier."""
 MAX_LINE_BYTES = 64 << 10
 MIN_RETRY_AFTER_S = 0.05
 MAX_RETRY_AFTER_S = 0.3
-"""Spread of the waits that refused callers are told, so that they don't come back together."""
+"""Range of the randomized ``Retry-After`` values, which spread the retries of refused callers."""
 DEFAULT_TIMEOUT_S = 60.0
-"""Time that a call without a timeout of its caller has; the route's timeout is shorter."""
+"""Timeout of a call whose caller sets none; the route's shorter timeout applies as well."""
 _STATUS_BY_OUTCOME = {
     Outcome.NOT_RUN: 503,
     Outcome.REFUSED: 503,
@@ -41,7 +41,11 @@
 
 
 class CallerServer:
-    """Turns HTTP requests into calls, and their outcomes into HTTP answers."""
+    """Accepts HTTP requests as calls, dispatches them, and returns their outcomes as responses.
+
+    :param routing: returns the configuration in force.
+    :param own_service: returns the service of this instance.
+    """
 
     def __init__(
         self,
@@ -68,9 +72,9 @@
         self._rng = rng
         self.in_flight = 0
         self.stopping = False
-        """Whether each answer asks the caller to use another connection."""
+        """Whether each response closes its connection, which makes the caller open another one."""
         self.closed = False
-        """Whether no new call is taken, since it might not end in time."""
+        """Whether new calls are refused, since they might not complete before the process stops."""
 
     def server(self) -> web.Server:
         """Return the HTTP server. A caller that disconnects cancels its call."""
@@ -87,7 +91,7 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if self.closed:
             request_id = request.headers.get(self._header_names.request_id, "")
-            rejection = self._error_response(request_id, 503, "this node stops")
+            rejection = self._error_response(request_id, 503, "this node is stopping")
             rejection.force_close()
             return rejection
         self.in_flight += 1
@@ -99,7 +103,7 @@
                 await response.prepare(request)
                 await response.write_eof()
             except ConnectionResetError:
-                # The caller left in the moment of the answer.
+                # The caller disconnected while the response was sent.
                 self._decisions.event(
                     "caller left before its answer",
                     request=request.headers.get(self._header_names.request_id),
@@ -114,7 +118,7 @@
         request_id = request.headers.get(self._header_names.request_id, "")
         routing = self._routing()
         if not routing.version:
-            return self._error_response(request_id, 503, "no configuration yet")
+            return self._error_response(request_id, 503, "no configuration received yet")
         route = routing.match(request.headers.get("Host", "").lower(), request.raw_path)
         if route is None:
             self._decisions.event(
@@ -126,7 +130,9 @@
             )
             return self._error_response(request_id, 404, "no route")
         if not request_id:
-            return self._error_response(request_id, 400, f"no {self._header_names.request_id}")
+            return self._error_response(
+                request_id, 400, f"missing header {self._header_names.request_id}"
+            )
         match await read_body(request, routing.limits.max_body_bytes):
             case Err(reason):
                 return self._error_response(request_id, 413, reason)
@@ -143,7 +149,7 @@
             return await self._dispatcher.dispatch(route, call)
         except asyncio.CancelledError:
             self._metrics.observe_call(route.name, call.service, "cancelled", 0.0)
-            self._decisions.failed(call, "cancelled", reason="the caller left")
+            self._decisions.failed(call, "cancelled", reason="the caller disconnected")
             raise
 
     def _build_call(
@@ -175,22 +181,24 @@
         self, call: Call, result: CallResult, version: int, seconds: float
     ) -> web.Response:
         match result:
-            case Ok(answer):
+            case Ok(target_response):
                 self._decisions.answered(
                     call,
-                    answer,
+                    target_response,
                     asyncio.get_running_loop().time() > call.late_after,
                     configuration=version,
                     seconds=round(seconds, 3),
                 )
-                return self._forward_response(call, answer)
+                return self._forward_response(call, target_response)
             case Err(failure):
                 return self._failure_response(call, failure, version, seconds)
 
-    def _forward_response(self, call: Call, answer: Response) -> web.Response:
-        headers = CIMultiDict(answer.headers)
+    def _forward_response(self, call: Call, target_response: Response) -> web.Response:
+        headers = CIMultiDict(target_response.headers)
         headers[self._header_names.request_id] = call.request_id
-        return web.Response(status=answer.status, headers=headers, body=answer.body)
+        return web.Response(
+            status=target_response.status, headers=headers, body=target_response.body
+        )
 
     def _failure_response(
         self, call: Call, failure: CallFailure, version: int, seconds: float
@@ -222,7 +230,7 @@
 
 
 def _parse_timeout_s(text: str | None) -> float:
-    """Return the seconds in a header with milliseconds."""
+    """Return the seconds of a header in milliseconds, at most ``DEFAULT_TIMEOUT_S``."""
     if text is None or not (text.isascii() and text.isdigit()):
         return DEFAULT_TIMEOUT_S
     return min(DEFAULT_TIMEOUT_S, int(text[:9]) / 1000)
--- a/src/bulrushflow/sidecar/dispatcher.py
+++ b/src/bulrushflow/sidecar/dispatcher.py
@@ -1,4 +1,4 @@
-"""Brings a call to a target: service, version, target, attempt, repeat."""
+"""Dispatch of calls to targets, with retries, hedging and deadlines."""
 
 import asyncio
 import random
@@ -24,49 +24,53 @@
 from bulrushflow.sidecar.model import Route
 
 MAX_REFUSALS = 4
-"""Attempts at targets that refuse a call before it is given up."""
+"""Refusals by targets after which a call is not tried again."""
 MAX_REFUSALS_AT_FULL_LOAD = 2
-"""Refusals after which no target is tried whose slots were all in use when last heard of."""
+"""Refusals after which targets are no longer tried if their last known load leaves no slot free."""
 TARGET_WAIT_FRACTION = 0.1
-"""Part of the route's target latency for which a call waits for a target to show up."""
+"""Fraction of the route's latency objective for which a call waits for a target to become
+available."""
 TARGET_POLL_S = 0.02
+"""Interval at which a waiting call looks for a target."""
 HEDGE_DELAY_FRACTION = 0.75
-"""Part of the route's target latency after which an idempotent call is tried elsewhere too."""
+"""Fraction of the route's latency objective after which an idempotent call is hedged, that is sent
+to a second target too."""
 HEDGE_DELAY_FACTOR = 3.0
-"""Times the target's usual latency that an attempt gets alone at least."""
+"""Least hedge delay, as a multiple of the first target's smoothed latency."""
 FULL_LOAD = 1.0
+"""Calls per slot from which a target has no slot free."""
 
 VersionFilter = t.Callable[[str, t.Sequence[Peer]], t.Sequence[Peer]]
 
 
 class CallProgress:
-    """What is known of one call after its attempts so far."""
+    """The outcome of one call's attempts so far."""
 
     __slots__ = ("abandoned", "deliveries", "possible_runs", "refusals", "result")
 
     def __init__(self, result: CallResult) -> None:
         self.result = result
         self.deliveries = 0
-        """How often the call may have reached a target."""
+        """Number of attempts that may have reached a target."""
         self.possible_runs = 0
-        """How often the call may have run."""
+        """Number of attempts that may have run."""
         self.refusals = 0
         self.abandoned = False
-        """Whether an attempt was given up, so that it may have run."""
+        """Whether an attempt was cancelled without an outcome, so that it may have run."""
 
     @property
     def succeeded(self) -> bool:
-        """Whether a target succeeded without an error of its own."""
+        """Whether a target responded without a server error."""
         return self.result.is_ok() and not self.result.unwrap().is_failure
 
     def record(self, result: CallResult, idempotent: bool, max_attempts: int) -> bool:
-        """Take in an attempt's outcome; tell whether it was the last."""
+        """Record an attempt's outcome; return whether the call must not be tried again."""
         match result:
-            case Ok(answer):
+            case Ok(response):
                 self.result = result
-                final = not answer.is_failure
+                final = not response.is_failure
             case Err(failure) if failure.outcome is Outcome.NOT_RUN:
-                # Once an attempt may have run, one that did not leaves the call uncertain.
+                # A refusal does not replace the result of an earlier attempt that may have run.
                 if not self.possible_runs:
                     self.result = result
                 self.refusals += 1
@@ -80,16 +84,20 @@
         return final or not idempotent or self.possible_runs >= max_attempts
 
     def result_at_deadline(self) -> CallResult:
-        """Return the outcome of a call whose time is over."""
+        """Return the outcome of a call whose deadline has passed."""
         if self.abandoned and not self.result.is_ok():
             return unknown("no answer within the timeout")
         return self.result
 
 
 class Dispatcher:
-    """Routes calls, each with the route that it began with.
+    """Sends each call to a target of its service, and retries it within the route's limits.
 
-    :param filter_peers: leaves the forwarder whose target has the version that a call goes to.
+    A call keeps the route that it started with when the configuration changes.
+
+    :param own_address: address of this node, whose own target is called through ``admission``.
+    :param filter_peers: returns those of a service's peers whose target has the version that a call
+        is to go to.
     """
 
     def __init__(
@@ -116,7 +124,7 @@
         self._credit_by_route: dict[str, dict[str, float]] = {}
 
     def choose_service(self, route: Route) -> str:
-        """Return the service for the next call of a route, by smooth weighted turns."""
+        """Return the service for the next call of a route, by smooth weighted round robin."""
         if len(route.services) == 1:
             return route.services[0].service
         key = f"{route.host}{route.prefix}"
@@ -131,7 +139,7 @@
         return best
 
     async def dispatch(self, route: Route, call: Call) -> CallResult:
-        """Run a call within its time; the outcome says whether it ran."""
+        """Run a call within its deadline; the outcome says whether it ran."""
         progress = CallProgress(not_run(f"no target of {call.service} takes calls"))
         try:
             async with asyncio.timeout_at(call.deadline):
@@ -141,7 +149,7 @@
         return progress.result
 
     async def _try_targets(self, route: Route, call: Call, progress: CallProgress) -> None:
-        """Try targets until an outcome is the last."""
+        """Try targets one after the other until an outcome is final or none is left to try."""
         loop = asyncio.get_running_loop()
         wait_until = min(
             call.deadline, loop.time() + route.latency_objective_s * TARGET_WAIT_FRACTION
@@ -170,7 +178,7 @@
                 break
 
     def _may_hedge(self, route: Route, call: Call, progress: CallProgress) -> bool:
-        """Tell whether a call may be at two targets at once."""
+        """Return whether a call may be sent to two targets at once."""
         if not call.idempotent or progress.possible_runs + 1 >= route.max_attempts:
             return False
         return len(self._directory.ready_peers(call.service)) > 1
@@ -178,11 +186,12 @@
     async def _attempt_hedged(
         self, route: Route, call: Call, peer: Peer, progress: CallProgress, tried: set[str]
     ) -> bool:
-        """Try a target, and another one beside it when the first takes long.
+        """Try a target, and a second one in parallel when the first exceeds the hedge delay.
 
-        The first is not given up: the other may refuse, or record as long.
+        The first attempt goes on, since the second may be refused or take just as long. The first
+        response without a server error ends both.
 
-        :return: whether the call ended.
+        :return: whether the call must not be tried again.
         """
         loop = asyncio.get_running_loop()
         hedge_delay_s = max(
@@ -194,7 +203,7 @@
             done, _ = await asyncio.wait(running, timeout=hedge_delay_s)
             if not done:
                 other = self._choose(route, call, tried)
-                # Where calls wait everywhere, a second one would only make all of them wait longer.
+                # Without a free slot, the second attempt would only lengthen the queues.
                 if other is not None and other.load(loop.time()) < FULL_LOAD:
                     tried.add(other.entry.address)
                     deliveries = progress.deliveries + 1
@@ -207,7 +216,7 @@
         finally:
             for task in running:
                 task.cancel()
-            # They tell what they gave up before the call's outcome is told.
+            # Cancelled attempts log their failure before the call's outcome is logged.
             await asyncio.gather(*running, return_exceptions=True)
         return ended
 
@@ -219,9 +228,9 @@
     async def _attempt(
         self, peer: Peer, call: Call, progress: CallProgress, deliveries: int
     ) -> CallResult:
-        """Try one target.
+        """Send the call to one target, and update what is known of the target.
 
-        :param deliveries: how often the call may have reached a target already.
+        :param deliveries: number of earlier attempts that may have reached a target.
         """
         loop = asyncio.get_running_loop()
         target = peer.entry.target
@@ -255,8 +264,8 @@
     ) -> None:
         now = asyncio.get_running_loop().time()
         match result:
-            case Ok(answer):
-                peer.record_response(seconds, answer.is_failure, now)
+            case Ok(response):
+                peer.record_response(seconds, response.is_failure, now)
                 peer.record_load(report.load or 0.0, now)
                 return
             case Err(failure):
--- a/src/bulrushflow/sidecar/forwarding.py
+++ b/src/bulrushflow/sidecar/forwarding.py
@@ -1,4 +1,4 @@
-"""Calls between nodes: sent to the node beside the chosen target, and run for the others."""
+"""Forwarding of calls between nodes."""
 
 import asyncio
 import typing as t
@@ -20,26 +20,30 @@
 from bulrushflow.wire.links import Links
 
 CONNECT_TIMEOUT_S = 0.3
-"""Longest wait of a call for a connection; another target is tried instead."""
+"""Time that a call waits for a connection to a node before another target is tried."""
 MIN_RECHECK_INTERVAL_S = 0.02
 MAX_RECHECK_INTERVAL_S = 1.5
+"""Bounds of the exponential backoff between attempts to connect to an unreachable node."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerReport:
-    """What came of one attempt at another node, besides the call's outcome."""
+    """What one attempt showed about the other node, besides the call's outcome."""
 
     reached: bool
-    """Whether the node answered at all."""
+    """Whether the node responded at all."""
     load: float | None = None
-    """Calls per slot; ``None`` while its target takes no calls."""
+    """Calls per slot; ``None`` while the node's target accepts no calls."""
 
 
 class PeerForwarder:
     """Sends calls to other nodes, and runs the calls that they send.
 
-    :param orders: follows the operator's records; the nodes tell each other how far they are.
-    :param is_known: tells whether the directory still has a peer.
+    Calls and responses carry the sender's read offset in the operator's records, by which a node
+    notices that its own reads lag behind.
+
+    :param orders: replica of the operator's records.
+    :param is_current: returns whether the directory still contains a peer.
     """
 
     def __init__(
@@ -59,11 +63,13 @@
         links.handle("call_request", self._serve)
 
     async def send(self, endpoint: tuple[str, int], call: Call) -> tuple[CallResult, PeerReport]:
-        """Run a call through another node."""
+        """Run a call through the node at ``endpoint``."""
         now = asyncio.get_running_loop().time()
         remaining_s = call.deadline - now
         if remaining_s <= 0:
-            return refused("no time left"), PeerReport(True, 0.0)
+            return refused(f"no time left: {remaining_s:.3f} s to the deadline"), PeerReport(
+                True, 0.0
+            )
         request = codec.call_to_message(call, remaining_s)
         request.read_offset = self._orders.offset
         request.useful_ms = max(0, int((call.late_after - now) * 1000))
@@ -74,22 +80,24 @@
                 result = (unknown if error.sent else not_run)(error.reason)
                 return result, PeerReport(False)
             case Ok(frame) if frame.call_answer is not None:
-                answer = frame.call_answer
+                response = frame.call_answer
             case _:
-                return unknown("the other node answered something else"), PeerReport(False)
-        self._orders.note_peer_offset(answer.read_offset or 0)
-        load = answer.in_flight / answer.capacity if answer.capacity else None
-        return codec.result_from_message(answer), PeerReport(True, load)
+                return unknown(
+                    "the other node sent an unexpected message instead of a call answer"
+                ), PeerReport(False)
+        self._orders.note_peer_offset(response.read_offset or 0)
+        load = response.in_flight / response.capacity if response.capacity else None
+        return codec.result_from_message(response), PeerReport(True, load)
 
     @property
     def recheck_count(self) -> int:
-        """Nodes that are looked for."""
+        """Number of unreachable nodes that are being reconnected to."""
         return len(self._rechecks)
 
     def mark_unreachable(self, peer: Peer) -> None:
-        """Take a node for unreachable until a connection to it can be opened.
+        """Exclude a node from calls until a connection to it can be opened.
 
-        No call waits for the attempts.
+        Connecting is retried in the background; no call waits for it.
         """
         if peer.unreachable:
             return
@@ -100,7 +108,7 @@
         task.add_done_callback(self._rechecks.discard)
 
     def close(self) -> None:
-        """Stop looking for lost nodes."""
+        """Stop reconnecting to unreachable nodes."""
         for task in self._rechecks:
             task.cancel()
 
@@ -119,6 +127,6 @@
         call = codec.call_from_message(message, asyncio.get_running_loop().time())
         result = await self._admission.run(call)
         admission = self._admission
-        answer = codec.result_to_message(result, admission.load, admission.capacity)
-        answer.read_offset = self._orders.offset
-        return {"call_answer": answer}
+        response = codec.result_to_message(result, admission.load, admission.capacity)
+        response.read_offset = self._orders.offset
+        return {"call_answer": response}
--- a/src/bulrushflow/sidecar/headers.py
+++ b/src/bulrushflow/sidecar/headers.py
@@ -1,4 +1,4 @@
-"""HTTP headers: the names that a platform gives, and what is passed on."""
+"""HTTP headers: their platform-specific names, and those that are not forwarded."""
 
 from dataclasses import dataclass
 
@@ -7,23 +7,23 @@
 
 @dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """What the headers are called that callers, targets and nodes exchange."""
+    """Names of the headers that callers, targets and nodes exchange; set by the platform."""
 
     request_id: str
-    """Identifies one attempt of a caller; the target echoes it."""
+    """Id of one attempt of a caller; the target echoes it."""
     timeout_ms: str
-    """Milliseconds that are left for the call."""
+    """Milliseconds left until the call's deadline."""
     signature: str
-    """Proves that an answer is the target's own."""
+    """Proof that a response comes from the target itself."""
     expected_target: str
-    """Id of the only target that may run the call."""
+    """Id of the only target that may run the call; others refuse it."""
     not_run: str
-    """Set by a target that certainly didn't run the call."""
+    """Set by a target on its response if it certainly didn't run the call."""
     caller_service: str
-    """Service of the instance that the call came from."""
+    """Service of the instance that the call comes from."""
     target_id: str
-    """Id of the target that answered."""
+    """Id of the target that responded."""
 
 
 HOP_BY_HOP_HEADERS = CONNECTION_HEADERS | {"expect", "proxy-connection"}
-"""Headers that concern one connection only; in lower case."""
+"""Headers that concern a single connection and are not forwarded; in lower case."""
--- a/src/bulrushflow/sidecar/model.py
+++ b/src/bulrushflow/sidecar/model.py
@@ -1,4 +1,4 @@
-"""Plain data of the sidecar: routes, services, targets, orders to move traffic."""
+"""Data model of the sidecar: routes, services, nodes and their targets, rollouts."""
 
 import enum
 import typing as t
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what a caller may send, and how long it may stay idle."""
+    """Limits on the size of callers' requests and on the idle time of their connections."""
 
     max_header_bytes: int = 16 << 10
     max_body_bytes: int = 64 << 20
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One service of a route and its part of the route's calls."""
+    """One service of a route, and its weight in the split of the route's calls."""
 
     service: str
     weight: float
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What is done with the calls of one host below one path prefix."""
+    """Handling of the calls to one host below one path prefix."""
 
     name: str
     host: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """What the operator says of one service."""
+    """The operator's settings of one service."""
 
     name: str
     health_path: str
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Routing:
-    """One whole configuration; replaced as a whole, never changed."""
+    """One version of the routing configuration; immutable, replaced as a whole."""
 
     version: int
     routes_by_host: t.Mapping[str, t.Mapping[str, Route]] = field(default_factory=dict)
@@ -59,7 +59,10 @@
     limits: Limits = Limits()
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest prefix that begins ``path``."""
+        """Return the route of ``host`` with the longest prefix of ``path``, or ``None``.
+
+        A host with a port falls back to the routes of the host without one.
+        """
         routes_by_prefix = self.routes_by_host.get(host)
         if routes_by_prefix is None:
             routes_by_prefix = self.routes_by_host.get(host.partition(":")[0])
@@ -74,7 +77,7 @@
 
 
 class TargetState(enum.StrEnum):
-    """Whether a target takes new calls."""
+    """Whether a target accepts new calls."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -82,9 +85,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetEntry:
-    """What a node tells the others of the target beside it.
+    """The state of one target, as its node publishes it to the other nodes.
 
-    ``incarnation`` and ``sequence`` order what one target says of itself.
+    ``incarnation`` and ``sequence`` order the announcements of a target.
     """
 
     target_id: str
@@ -99,13 +102,13 @@
 
     @property
     def revision(self) -> tuple[int, int]:
-        """Position among all that targets at one address say."""
+        """Sort key of the announcements of targets at one address; the highest is the newest."""
         return self.incarnation, self.sequence
 
 
 @dataclass(frozen=True, slots=True)
 class NodeEntry:
-    """One node, where the others reach it, and its target."""
+    """One node, its address for other nodes, and the target beside it."""
 
     node_id: str
     data_centre: str
@@ -115,12 +118,12 @@
 
     @property
     def endpoint(self) -> tuple[str, int]:
-        """Where the other nodes connect to."""
+        """Address and port that other nodes connect to."""
         return self.address, self.peer_port
 
 
 class RolloutPhase(enum.StrEnum):
-    """Where a move of traffic between two versions stands."""
+    """The phase of a rollout."""
 
     RUNNING = "running"
     COMPLETED = "done"
@@ -129,20 +132,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutOrder:
-    """The operator's wish to have a service's traffic on a version by a time."""
+    """The operator's order to shift a service's traffic to a version within a duration."""
 
     service: str
     to_version: str
     duration_s: float
     order_id: int
-    """Offset of the order in the store; a later order of the service has a higher one."""
+    """Offset of the order in the store; later orders of a service have higher ones."""
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutStatus:
-    """The state of a move that all nodes follow; kept in the store.
+    """The state of a rollout, kept in the store and followed by all nodes.
 
-    A status with a higher ``step`` of the same order replaces a lower one.
+    Of two statuses of one order, the one with the higher ``step`` replaces the other.
     """
 
     service: str
