--- a/tests/sidecar/samples.py
+++ b/tests/sidecar/samples.py
@@ -1,4 +1,4 @@
-"""Sample entries, calls and parts for tests of the sidecar."""
+"""Sample entries, calls and fakes for tests of the sidecar."""
 
 import asyncio
 import typing as t
@@ -23,7 +23,7 @@
 
 
 class FixedClock:
-    """Clocks that stand still."""
+    """A clock whose times don't advance."""
 
     def __init__(self, wall_ms: int) -> None:
         self._wall_ms = wall_ms
@@ -77,7 +77,11 @@
 
 
 class MemoryStore:
-    """A store in memory, whose reads can be made to miss their wake-up."""
+    """An in-memory store that can be made unavailable, or not to wake pending reads.
+
+    ``reads`` records the offset and wait time of each read. Offsets below ``first_offset`` count as
+    trimmed.
+    """
 
     def __init__(self) -> None:
         self.records: list[KeyedRecord] = []
--- a/tests/sidecar/servers.py
+++ b/tests/sidecar/servers.py
@@ -1,4 +1,4 @@
-"""A small HTTP target for tests, whose behaviour each test sets."""
+"""A configurable HTTP target for tests."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 class FakeTarget:
-    """Answers calls with their id and a signature; holds them while told to."""
+    """Responds with the call's id and a signature; calls wait while ``released`` is cleared."""
 
     def __init__(self) -> None:
         self.received: list[str] = []
--- a/tests/sidecar/test_dispatcher.py
+++ b/tests/sidecar/test_dispatcher.py
@@ -27,7 +27,7 @@
 from tests.waiting import until
 
 
-def answered(status: int) -> Response:
+def response_with(status: int) -> Response:
     return Response(status, (), b"")
 
 
@@ -35,58 +35,58 @@
     def progress(self) -> CallProgress:
         return CallProgress(not_run("no target"))
 
-    def test_a_refusal_in_front_of_the_target_is_no_arrival(self) -> None:
+    def test_a_refusal_by_admission_control_does_not_count_as_delivered(self) -> None:
         progress = self.progress()
         self.assertFalse(progress.record(not_run("full"), False, 2))
         self.assertEqual((progress.deliveries, progress.possible_runs), (0, 0))
 
-    def test_a_call_that_a_target_refused_counts_as_repeated_when_sent_on(self) -> None:
+    def test_a_refusal_by_the_target_counts_as_delivered_but_not_as_run(self) -> None:
         progress = self.progress()
         self.assertFalse(progress.record(not_run("503", reached_target=True), False, 2))
         self.assertEqual((progress.deliveries, progress.possible_runs), (1, 0))
 
-    def test_a_call_that_may_have_run_stays_uncertain(self) -> None:
+    def test_a_later_refusal_does_not_hide_an_attempt_that_may_have_run(self) -> None:
         progress = self.progress()
         self.assertFalse(progress.record(unknown("cut"), True, 2))
         progress.record(not_run("full"), True, 2)
         self.assertIs(progress.result.unwrap_err().outcome, Outcome.UNKNOWN)
 
-    def test_what_is_not_idempotent_is_not_sent_again_once_it_may_have_run(self) -> None:
-        for result in (unknown("cut"), answered(500).as_result()):
+    def test_a_call_that_is_not_idempotent_is_not_retried_once_it_may_have_run(self) -> None:
+        for result in (unknown("cut"), response_with(500).as_result()):
             self.assertTrue(self.progress().record(result, False, 3))
 
-    def test_an_idempotent_call_is_repeated_up_to_the_routes_attempts(self) -> None:
+    def test_an_idempotent_call_is_retried_up_to_the_routes_limit(self) -> None:
         progress = self.progress()
-        self.assertFalse(progress.record(answered(500).as_result(), True, 2))
+        self.assertFalse(progress.record(response_with(500).as_result(), True, 2))
         self.assertTrue(progress.record(unknown("cut"), True, 2))
 
-    def test_a_target_that_failed_is_not_lost_from_the_answer(self) -> None:
+    def test_a_refused_retry_does_not_replace_the_targets_error_response(self) -> None:
         progress = self.progress()
-        progress.record(answered(500).as_result(), True, 2)
+        progress.record(response_with(500).as_result(), True, 2)
         progress.record(not_run("too many repeated calls"), True, 2)
         self.assertEqual(progress.result.unwrap().status, 500)
 
-    def test_an_answer_is_not_lost_when_the_time_of_a_repeat_is_over(self) -> None:
+    def test_a_retry_that_times_out_does_not_replace_the_targets_error_response(self) -> None:
         progress = self.progress()
-        progress.record(answered(500).as_result(), True, 2)
+        progress.record(response_with(500).as_result(), True, 2)
         progress.abandoned = True
         self.assertEqual(progress.result_at_deadline().unwrap().status, 500)
 
-    def test_refusals_end(self) -> None:
+    def test_the_number_of_refusals_is_limited(self) -> None:
         progress = self.progress()
         ends = [progress.record(not_run("full"), True, 2) for _ in range(MAX_REFUSALS)]
         self.assertEqual(ends, [False] * (MAX_REFUSALS - 1) + [True])
 
 
 class HedgingTests(unittest.IsolatedAsyncioTestCase):
-    """Calls at two targets, each held or failed by the test."""
+    """Calls to two targets whose responses each test supplies."""
 
     async def asyncSetUp(self) -> None:
         self.directory = Directory()
         for number in (1, 2):
             self.directory.update(f"node/{number}", peer(number).entry)
         self.sent: list[tuple[str, int]] = []
-        self.answers: dict[str, asyncio.Future[CallResult]] = {}
+        self.responses: dict[str, asyncio.Future[CallResult]] = {}
         self.cancelled: list[str] = []
         peers = mock.Mock()
         peers.send = self.send
@@ -106,9 +106,9 @@
     async def send(self, endpoint: tuple[str, int], sent: Call) -> tuple[CallResult, PeerReport]:
         address = endpoint[0]
         self.sent.append((address, sent.attempt))
-        self.answers[address] = asyncio.get_running_loop().create_future()
+        self.responses[address] = asyncio.get_running_loop().create_future()
         try:
-            return await self.answers[address], PeerReport(True, 0.0)
+            return await self.responses[address], PeerReport(True, 0.0)
         except asyncio.CancelledError:
             self.cancelled.append(address)
             raise
@@ -121,45 +121,45 @@
         running = self.dispatcher.dispatch(self.route(), call(idempotent=idempotent))
         return asyncio.ensure_future(running)
 
-    async def test_a_slow_target_keeps_its_call_when_the_other_refuses(self) -> None:
+    async def test_a_refused_hedge_does_not_cancel_the_first_attempt(self) -> None:
         running = self.start()
         await until(lambda: len(self.sent) == 2)
         first, second = (address for address, _ in self.sent)
-        self.answers[second].set_result(not_run("too many repeated calls"))
+        self.responses[second].set_result(not_run("too many repeated calls"))
         await asyncio.sleep(0.01)
         self.assertEqual(self.cancelled, [])
-        self.answers[first].set_result(answered(200).as_result())
+        self.responses[first].set_result(response_with(200).as_result())
         self.assertEqual((await running).unwrap().status, 200)
 
-    async def test_the_first_answer_counts_and_the_other_call_is_cancelled(self) -> None:
+    async def test_the_first_response_wins_and_the_other_attempt_is_cancelled(self) -> None:
         running = self.start()
         await until(lambda: len(self.sent) == 2)
         first, second = (address for address, _ in self.sent)
-        self.answers[second].set_result(answered(200).as_result())
+        self.responses[second].set_result(response_with(200).as_result())
         self.assertEqual((await running).unwrap().status, 200)
         await until(lambda: self.cancelled == [first])
 
-    async def test_a_slow_call_is_not_sent_to_a_target_without_free_slots_too(self) -> None:
+    async def test_a_call_is_not_hedged_without_a_free_slot(self) -> None:
         now = asyncio.get_running_loop().time()
-        for held in self.directory.ready_peers("statements"):
-            held.record_load(4.0, now)
+        for target_peer in self.directory.ready_peers("statements"):
+            target_peer.record_load(4.0, now)
         running = self.start()
         await asyncio.sleep(0.1)
         self.assertEqual(len(self.sent), 1)
-        self.answers[self.sent[0][0]].set_result(answered(200).as_result())
+        self.responses[self.sent[0][0]].set_result(response_with(200).as_result())
         self.assertEqual((await running).unwrap().status, 200)
 
-    async def test_a_call_that_was_only_refused_until_its_time_was_over_has_not_run(self) -> None:
+    async def test_a_call_refused_until_its_deadline_has_not_run(self) -> None:
         running = self.dispatcher.dispatch(self.route(), call(idempotent=False, timeout_s=0.1))
         task = asyncio.ensure_future(running)
         await until(lambda: len(self.sent) == 1)
-        self.answers[self.sent[0][0]].set_result(not_run("the queue is full"))
+        self.responses[self.sent[0][0]].set_result(not_run("the queue is full"))
         await until(lambda: len(self.sent) == 2)
-        self.answers[self.sent[1][0]].set_result(not_run("the queue is full"))
+        self.responses[self.sent[1][0]].set_result(not_run("the queue is full"))
         failure = (await task).unwrap_err()
         self.assertIs(failure.outcome, Outcome.NOT_RUN)
 
-    async def test_a_call_given_up_at_a_target_may_have_run_and_the_log_tells_where(self) -> None:
+    async def test_an_attempt_cut_by_the_deadline_may_have_run_and_is_logged(self) -> None:
         with self.assertLogs() as logs:
             handler = logger.add(lambda message: logging.getLogger().info(message.strip()))
             self.addCleanup(logger.remove, handler)
@@ -169,30 +169,30 @@
         self.assertEqual(len(self.cancelled), 1)
         self.assertIn("attempt failed", "".join(logs.output))
 
-    async def test_where_all_targets_are_full_few_are_tried(self) -> None:
+    async def test_few_targets_are_tried_if_all_are_fully_loaded(self) -> None:
         for number in (3, 4, 5):
             self.directory.update(f"node/{number}", peer(number).entry)
         now = asyncio.get_running_loop().time()
-        for held in self.directory.ready_peers("statements"):
-            held.record_load(4.0, now)
+        for target_peer in self.directory.ready_peers("statements"):
+            target_peer.record_load(4.0, now)
         running = self.start(idempotent=False)
         await until(lambda: len(self.sent) == 1)
-        self.answers[self.sent[0][0]].set_result(not_run("the queue is full"))
+        self.responses[self.sent[0][0]].set_result(not_run("the queue is full"))
         await until(lambda: len(self.sent) == 2)
-        self.answers[self.sent[1][0]].set_result(not_run("the queue is full"))
+        self.responses[self.sent[1][0]].set_result(not_run("the queue is full"))
         self.assertIs((await running).unwrap_err().outcome, Outcome.NOT_RUN)
         self.assertEqual(len(self.sent), 2)
 
-    async def test_the_second_call_counts_as_a_repeat(self) -> None:
+    async def test_a_hedged_attempt_counts_as_a_retry(self) -> None:
         running = self.start()
         await until(lambda: len(self.sent) == 2)
         self.assertEqual([attempt for _, attempt in self.sent], [0, 1])
         running.cancel()
         await until(lambda: len(self.cancelled) == 2)
 
-    async def test_a_call_that_is_not_idempotent_is_at_one_target_only(self) -> None:
+    async def test_a_call_that_is_not_idempotent_is_not_hedged(self) -> None:
         running = self.start(idempotent=False)
         await asyncio.sleep(0.1)
         self.assertEqual(len(self.sent), 1)
-        self.answers[self.sent[0][0]].set_result(answered(200).as_result())
+        self.responses[self.sent[0][0]].set_result(response_with(200).as_result())
         self.assertEqual((await running).unwrap().status, 200)
--- a/tests/sidecar/test_exchange.py
+++ b/tests/sidecar/test_exchange.py
@@ -12,7 +12,7 @@
 Script = t.Callable[[asyncio.StreamReader, asyncio.StreamWriter], t.Awaitable[None]]
 
 
-def answer(call_id: str, body: bytes, length: bool = True) -> bytes:
+def response(call_id: str, body: bytes, length: bool = True) -> bytes:
     head = f"HTTP/1.1 200 OK\r\nX-Id: {call_id}\r\n"
     if length:
         head += f"Content-Length: {len(body)}\r\n"
@@ -43,66 +43,66 @@
         headers = [("Host", "h"), ("X-Id", call_id)]
         return await connection.exchange("GET", "/a", headers, b"", call_id)
 
-    async def test_two_calls_share_a_connection(self) -> None:
+    async def test_a_connection_is_reused_for_a_second_call(self) -> None:
         async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             for call_id in ("1", "2"):
                 await reader.readuntil(b"\r\n\r\n")
-                writer.write(answer(call_id, b"body"))
+                writer.write(response(call_id, b"body"))
 
         connection = await self.connect(script)
         self.assertEqual((await self.call(connection, "1")).body, b"body")
         self.assertTrue(connection.reusable)
         self.assertEqual((await self.call(connection, "2")).status, 200)
 
-    async def test_a_late_answer_to_an_earlier_call_is_passed_over(self) -> None:
+    async def test_a_stale_response_to_an_earlier_call_is_ignored(self) -> None:
         async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer("1", b"first"))
+            writer.write(response("1", b"first"))
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer("1", b"extra"))
+            writer.write(response("1", b"extra"))
             await writer.drain()
             await asyncio.sleep(0.01)
-            writer.write(answer("2", b"second"))
+            writer.write(response("2", b"second"))
 
         connection = await self.connect(script)
         await self.call(connection, "1")
         self.assertEqual((await self.call(connection, "2")).body, b"second")
 
-    async def test_bytes_behind_an_answer_end_the_connection(self) -> None:
+    async def test_data_after_a_response_closes_the_connection(self) -> None:
         async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer("1", b"first") + answer("1", b"extra"))
+            writer.write(response("1", b"first") + response("1", b"extra"))
 
         connection = await self.connect(script)
         self.assertEqual((await self.call(connection, "1")).body, b"first")
         self.assertFalse(connection.reusable)
 
-    async def test_bytes_while_idle_end_the_connection(self) -> None:
+    async def test_data_on_an_idle_connection_closes_it(self) -> None:
         async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer("1", b"first"))
+            writer.write(response("1", b"first"))
             await writer.drain()
             await asyncio.sleep(0.02)
-            writer.write(answer("1", b"extra"))
+            writer.write(response("1", b"extra"))
 
         connection = await self.connect(script)
         await self.call(connection, "1")
         await until(lambda: not connection.reusable)
 
-    async def test_an_answer_without_length_ends_with_its_connection(self) -> None:
+    async def test_a_response_without_length_ends_when_the_connection_closes(self) -> None:
         async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer("1", b"whole", length=False))
+            writer.write(response("1", b"whole", length=False))
             await writer.drain()
             writer.close()
 
         connection = await self.connect(script)
         self.assertEqual((await self.call(connection, "1")).body, b"whole")
 
-    async def test_a_reset_is_no_end_of_an_answer_without_length(self) -> None:
+    async def test_a_reset_does_not_end_a_response_without_length(self) -> None:
         async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer("1", b"part", length=False))
+            writer.write(response("1", b"part", length=False))
             await writer.drain()
             await asyncio.sleep(0.02)
             raw = writer.get_extra_info("socket")
@@ -113,7 +113,7 @@
         with self.assertRaises(ExchangeError):
             await self.call(connection, "1")
 
-    async def test_a_request_that_is_no_http_is_not_sent(self) -> None:
+    async def test_a_malformed_request_is_not_sent(self) -> None:
         received = bytearray()
 
         async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -124,7 +124,7 @@
             await connection.exchange("GET", "/a", [("Host", "h"), ("X", "a\nb")], b"", "1")
         self.assertEqual(received, b"")
 
-    async def test_what_is_no_answer_fails_the_call(self) -> None:
+    async def test_a_malformed_or_truncated_response_fails_the_call(self) -> None:
         for data in (b"garbage\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort"):
             with self.subTest(data=data):
 
--- a/tests/sidecar/test_forwarding.py
+++ b/tests/sidecar/test_forwarding.py
@@ -24,7 +24,7 @@
 
 
 class Node:
-    """One node's connections and admission on loopback."""
+    """One node's connections and admission controller on loopback."""
 
     def __init__(self) -> None:
         decisions = DecisionLog()
@@ -43,7 +43,7 @@
         store = MemoryStore()
         follower = mock.Mock()
         orders = Replica(store, "orders", follower, decisions, random.Random(1))
-        self.peers = PeerForwarder(
+        self.forwarder = PeerForwarder(
             self.links, self.admission, orders, self.directory.is_current, decisions
         )
 
@@ -52,62 +52,62 @@
         await self.links.start()
 
     async def stop(self) -> None:
-        self.peers.close()
+        self.forwarder.close()
         self.admission.close()
         await self.timers.stop()
         await self.links.stop()
 
 
-class PeersTests(unittest.IsolatedAsyncioTestCase):
+class PeerForwarderTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.target = FakeTarget()
         endpoint = await self.target.start()
         self.addAsyncCleanup(self.target.stop)
-        self.here, self.there = Node(), Node()
-        for node in (self.here, self.there):
+        self.local, self.remote = Node(), Node()
+        for node in (self.local, self.remote):
             await node.start()
             self.addAsyncCleanup(node.stop)
-        self.there.admission.apply_announcement(target(), endpoint)
-        self.peer = self.known_peer(self.there.links.port)
+        self.remote.admission.apply_announcement(target(), endpoint)
+        self.peer = self.known_peer(self.remote.links.port)
 
     def known_peer(self, port: int) -> Peer:
         entry = replace(peer(1).entry, address="127.0.0.1", peer_port=port)
-        self.here.directory.update("node/1", entry)
-        return self.here.directory.peers_by_key["node/1"]
+        self.local.directory.update("node/1", entry)
+        return self.local.directory.peers_by_key["node/1"]
 
-    async def test_a_call_runs_at_the_other_node_and_its_load_comes_back(self) -> None:
-        result, report = await self.here.peers.send(self.peer.entry.endpoint, call())
+    async def test_a_forwarded_call_returns_the_response_and_the_nodes_load(self) -> None:
+        result, report = await self.local.forwarder.send(self.peer.entry.endpoint, call())
         self.assertEqual(result.unwrap().body, b"body")
         self.assertEqual((report.reached, report.load), (True, 0.0))
 
-    async def test_a_node_without_a_target_has_no_load(self) -> None:
-        self.there.admission.remove_target("t-1")
-        result, report = await self.here.peers.send(self.peer.entry.endpoint, call())
+    async def test_a_node_without_a_target_reports_no_load(self) -> None:
+        self.remote.admission.remove_target("t-1")
+        result, report = await self.local.forwarder.send(self.peer.entry.endpoint, call())
         self.assertIs(result.unwrap_err().outcome, Outcome.NOT_RUN)
         self.assertIsNone(report.load)
 
-    async def test_a_target_that_refuses_is_told_as_an_arrival(self) -> None:
+    async def test_a_refusal_by_the_target_is_reported_as_having_reached_it(self) -> None:
         self.target.status, self.target.not_run = 503, True
-        result, _ = await self.here.peers.send(self.peer.entry.endpoint, call())
+        result, _ = await self.local.forwarder.send(self.peer.entry.endpoint, call())
         self.assertTrue(result.unwrap_err().reached_target)
 
-    async def test_a_lost_node_comes_back_without_a_call(self) -> None:
-        port = self.there.links.port
-        await self.there.links.stop()
-        result, report = await self.here.peers.send(self.peer.entry.endpoint, call())
+    async def test_an_unreachable_node_is_reconnected_without_a_call(self) -> None:
+        port = self.remote.links.port
+        await self.remote.links.stop()
+        result, report = await self.local.forwarder.send(self.peer.entry.endpoint, call())
         self.assertIs(result.unwrap_err().outcome, Outcome.NOT_RUN)
         self.assertFalse(report.reached)
-        self.here.peers.mark_unreachable(self.peer)
+        self.local.forwarder.mark_unreachable(self.peer)
         self.assertTrue(self.peer.unreachable)
-        again = Node()
-        again.links = Links("127.0.0.1", port, again.timers)
-        await again.start()
-        self.addAsyncCleanup(again.stop)
+        restarted = Node()
+        restarted.links = Links("127.0.0.1", port, restarted.timers)
+        await restarted.start()
+        self.addAsyncCleanup(restarted.stop)
         await until(lambda: not self.peer.unreachable)
 
-    async def test_a_node_that_is_no_longer_known_is_not_looked_for(self) -> None:
-        gone = self.known_peer(1)
-        self.here.peers.mark_unreachable(gone)
-        self.here.directory.remove("node/1")
-        await until(lambda: not self.here.peers.recheck_count)
-        self.assertTrue(gone.unreachable)
+    async def test_a_removed_node_is_not_reconnected(self) -> None:
+        removed = self.known_peer(1)
+        self.local.forwarder.mark_unreachable(removed)
+        self.local.directory.remove("node/1")
+        await until(lambda: not self.local.forwarder.recheck_count)
+        self.assertTrue(removed.unreachable)
--- a/tests/sidecar/test_retry_budget.py
+++ b/tests/sidecar/test_retry_budget.py
@@ -11,44 +11,44 @@
 )
 
 
-class RepeatLimitTests(unittest.TestCase):
+class TargetRetryBudgetTests(unittest.TestCase):
     @given(steps)
-    def test_any_window_keeps_the_services_bound(
+    def test_retries_stay_within_the_services_bound_in_every_window(
         self, calls: list[tuple[float, int, bool]]
     ) -> None:
-        limits = [TargetRetryBudget(RATIO, SLACK, WINDOW_S) for _ in range(4)]
-        for limit in limits:
-            limit.target_count = len(limits)
+        budgets = [TargetRetryBudget(RATIO, SLACK, WINDOW_S) for _ in range(4)]
+        for budget in budgets:
+            budget.target_count = len(budgets)
         now = 0.0
-        firsts: list[float] = []
-        repeats: list[float] = []
-        for pause_s, number, is_repeat in calls:
-            now += pause_s
-            if not is_repeat:
-                limits[number].record_first_attempt(now)
-                firsts.append(now)
-            elif limits[number].try_consume(now):
-                repeats.append(now)
-            counted = [at for at in repeats if at > now - WINDOW_S]
-            # The bound's own reckoning takes the window before into account, too.
-            base = [at for at in firsts if at > now - 2 * WINDOW_S]
+        first_attempts: list[float] = []
+        retries: list[float] = []
+        for interval_s, number, is_retry in calls:
+            now += interval_s
+            if not is_retry:
+                budgets[number].record_first_attempt(now)
+                first_attempts.append(now)
+            elif budgets[number].try_consume(now):
+                retries.append(now)
+            counted = [at for at in retries if at > now - WINDOW_S]
+            # The service's bound also counts the first attempts of the window before.
+            base = [at for at in first_attempts if at > now - 2 * WINDOW_S]
             self.assertLessEqual(len(counted), RATIO * len(base) + SLACK)
 
-    def test_calls_that_repeated_calls_make_stay_within_the_bound_too(self) -> None:
-        # A service is called twice by each call of another one that is as busy as itself.
+    def test_calls_made_by_retried_calls_stay_within_the_bound(self) -> None:
+        # Each call to one service makes two calls to the other, and both retry all they may.
         above, below = (TargetRetryBudget(RATIO, SLACK, WINDOW_S) for _ in range(2))
-        firsts = repeats = 0
+        first_attempts = retries = 0
         for i in range(4000):
             now = i / 400
             above.record_first_attempt(now)
             calls = 2 * above.try_consume(now)
-            repeats += calls + below.try_consume(now)
+            retries += calls + below.try_consume(now)
             for _ in range(2 + calls):
                 below.record_first_attempt(now)
-            firsts += 2
-        self.assertLessEqual(repeats, RATIO * firsts + SLACK)
+            first_attempts += 2
+        self.assertLessEqual(retries, RATIO * first_attempts + SLACK)
 
-    def test_without_any_calls_a_part_of_the_slack_is_left(self) -> None:
-        limit = TargetRetryBudget(RATIO, SLACK, WINDOW_S)
-        limit.target_count = 3
-        self.assertEqual(sum(limit.try_consume(0.0) for _ in range(100)), 6)
+    def test_without_first_attempts_a_fraction_of_the_slack_is_available(self) -> None:
+        budget = TargetRetryBudget(RATIO, SLACK, WINDOW_S)
+        budget.target_count = 3
+        self.assertEqual(sum(budget.try_consume(0.0) for _ in range(100)), 6)
