--- a/src/bulrushflow/sidecar/admission_controller.py
+++ b/src/bulrushflow/sidecar/admission_controller.py
@@ -36,7 +36,7 @@
     """Tracks the target, and refuses calls that it can't or may not serve before they are sent.
 
     A call is checked against the target's state and version, waits for a slot, is checked again,
-    and is charged to the retry budget before it is sent.
+    and counts against the retry budget if it is a retry.
 
     :param is_forbidden: returns whether a version of a service may receive no new calls.
     :param observer: called after each call that may have run, with the call, whether it failed, and
--- a/src/bulrushflow/sidecar/balancer.py
+++ b/src/bulrushflow/sidecar/balancer.py
@@ -65,50 +65,50 @@
             healthy = available
         # A target without a measured latency counts as fast, so that it gets calls.
         measured = sorted(peer.latency_s for peer in healthy if peer.latency_s)
-        default_latency_s = (
+        fast_latency_s = (
             measured[int(len(measured) * FAST_QUANTILE)] if measured else DEFAULT_LATENCY_S
         )
         local = [peer for peer in healthy if peer.entry.data_centre == self._data_centre]
         preferred = [
             peer
             for peer in local
-            if self._is_preferred(peer, now, default_latency_s, latency_objective_s)
+            if self._is_preferred(peer, now, fast_latency_s, latency_objective_s)
         ]
         pool = preferred or [peer for peer in healthy if peer.load(now) < 1]
         if pool:
             pool = self._rng.sample(pool, min(2, len(pool)))
-            return min(pool, key=lambda peer: self._cost_s(peer, now, default_latency_s))
+            return min(pool, key=lambda peer: self._cost_s(peer, now, fast_latency_s))
         pool = [self._rng.choice(healthy)]
         if local:
             pool.append(self._rng.choice(local))
-        return min(pool, key=lambda peer: self._overload_cost_s(peer, now, default_latency_s))
+        return min(pool, key=lambda peer: self._overload_cost_s(peer, now, fast_latency_s))
 
     def _is_preferred(
-        self, peer: Peer, now: float, default_latency_s: float, latency_objective_s: float
+        self, peer: Peer, now: float, fast_latency_s: float, latency_objective_s: float
     ) -> bool:
         """Return whether a local target is good enough not to consider remote ones."""
-        if peer.load(now) < 1 and peer.latency_s <= default_latency_s * SLOW_FACTOR:
+        if peer.load(now) < 1 and peer.latency_s <= fast_latency_s * SLOW_FACTOR:
             return True
         return (
-            self._expected_latency_s(peer, now, default_latency_s)
+            self._expected_latency_s(peer, now, fast_latency_s)
             <= latency_objective_s * LOCAL_LATENCY_FRACTION
         )
 
-    def _expected_latency_s(self, peer: Peer, now: float, default_latency_s: float) -> float:
+    def _expected_latency_s(self, peer: Peer, now: float, fast_latency_s: float) -> float:
         """Return the expected time to a response, in seconds."""
-        latency_s = peer.latency_s or default_latency_s
+        latency_s = peer.latency_s or fast_latency_s
         target = peer.entry.target
         if target is not None and target.warm_at_ms > self._wall_ms():
             latency_s *= WARM_UP_FACTOR
         return latency_s * max(1.0, peer.load(now))
 
-    def _overload_cost_s(self, peer: Peer, now: float, default_latency_s: float) -> float:
+    def _overload_cost_s(self, peer: Peer, now: float, fast_latency_s: float) -> float:
         """Return the cost by which targets without free slots are compared."""
         remote = peer.entry.data_centre != self._data_centre
-        return self._expected_latency_s(peer, now, default_latency_s) * (
+        return self._expected_latency_s(peer, now, fast_latency_s) * (
             REMOTE_COST_FACTOR if remote else 1.0
         )
 
-    def _cost_s(self, peer: Peer, now: float, default_latency_s: float) -> float:
-        """Return the cost by which other targets are compared; free slots lower it."""
-        return self._expected_latency_s(peer, now, default_latency_s) * (1 + peer.load(now))
+    def _cost_s(self, peer: Peer, now: float, fast_latency_s: float) -> float:
+        """Return the cost by which other targets are compared; load counts before calls queue."""
+        return self._expected_latency_s(peer, now, fast_latency_s) * (1 + peer.load(now))
--- a/src/bulrushflow/sidecar/callers.py
+++ b/src/bulrushflow/sidecar/callers.py
@@ -230,7 +230,7 @@
 
 
 def _parse_timeout_s(text: str | None) -> float:
-    """Return the seconds of a header in milliseconds, at most ``DEFAULT_TIMEOUT_S``."""
+    """Return the seconds in a header given in milliseconds, at most ``DEFAULT_TIMEOUT_S``."""
     if text is None or not (text.isascii() and text.isdigit()):
         return DEFAULT_TIMEOUT_S
     return min(DEFAULT_TIMEOUT_S, int(text[:9]) / 1000)
--- a/src/bulrushflow/sidecar/exchange.py
+++ b/src/bulrushflow/sidecar/exchange.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client connection to the target that carries one request at a time."""
+"""An HTTP/1.1 client connection to the target: one request at a time, complete responses only."""
 
 import asyncio
 import typing as t
@@ -166,7 +166,7 @@
         """Ignore a late response to an earlier call, and continue with the data that follows it."""
         trailing, closed = self._parser.trailing_data
         if closed or self._parser.their_state is not h11.DONE or self._request is None:
-            self._fail(f"response to another call than {self._request_id}")
+            self._fail(f"response belongs to another call than {self._request_id}")
             return
         self._parser = h11.Connection(h11.CLIENT, MAX_RESPONSE_HEAD_BYTES)
         self._response = None
--- a/src/bulrushflow/sidecar/forwarding.py
+++ b/src/bulrushflow/sidecar/forwarding.py
@@ -67,9 +67,7 @@
         now = asyncio.get_running_loop().time()
         remaining_s = call.deadline - now
         if remaining_s <= 0:
-            return refused(f"no time left: {remaining_s:.3f} s to the deadline"), PeerReport(
-                True, 0.0
-            )
+            return refused(f"no time left: {remaining_s:.3f} s"), PeerReport(True, 0.0)
         request = codec.call_to_message(call, remaining_s)
         request.read_offset = self._orders.offset
         request.useful_ms = max(0, int((call.late_after - now) * 1000))
@@ -82,9 +80,7 @@
             case Ok(frame) if frame.call_answer is not None:
                 response = frame.call_answer
             case _:
-                return unknown(
-                    "the other node sent an unexpected message instead of a call answer"
-                ), PeerReport(False)
+                return unknown("unexpected message instead of a call answer"), PeerReport(False)
         self._orders.note_peer_offset(response.read_offset or 0)
         load = response.in_flight / response.capacity if response.capacity else None
         return codec.result_from_message(response), PeerReport(True, load)
--- a/src/bulrushflow/sidecar/retry_budget.py
+++ b/src/bulrushflow/sidecar/retry_budget.py
@@ -34,6 +34,7 @@
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
         self.configure(ratio, slack, window_s)
         self._buckets: collections.deque[list[float]] = collections.deque()
+        """Start time, first attempts and retries of each bucket."""
         self._first_attempts = 0.0
         self._retries = 0.0
         self.target_count = 1
--- a/src/bulrushflow/sidecar/slots.py
+++ b/src/bulrushflow/sidecar/slots.py
@@ -144,7 +144,7 @@
         :raises InvariantError: when no slot is in use.
         """
         if self.active <= 0:
-            raise InvariantError(f"slot released with {self.active} of {self.capacity} in use")
+            raise InvariantError(f"slot released twice: {self.active} of {self.capacity} in use")
         self.active -= 1
         if seconds is not None:
             self._record_service_time(route, seconds)
--- a/src/bulrushflow/sidecar/target_client.py
+++ b/src/bulrushflow/sidecar/target_client.py
@@ -90,8 +90,7 @@
     def _classify(self, call: Call, response: RawResponse) -> CallResult:
         """Return the call's outcome for the target's response.
 
-        A success counts only with the target's signature and the call's id, since a stale response
-        or another process at the address could send one too.
+        A success counts only if it carries the target's signature and the call's id.
         """
         if response.status == 421:
             self.replaced = True
