--- a/src/bulrushflow/sidecar/admission_controller.py
+++ b/src/bulrushflow/sidecar/admission_controller.py
@@ -1,4 +1,7 @@
-"""Admission to the target beside this node: the only way to it, and the last word on each call."""
+"""Admission control in front of the target beside this node.
+
+Every call to the target passes through it, whether it comes from this node or from another one.
+"""
 
 import asyncio
 import collections
@@ -18,80 +21,93 @@
 from bulrushflow.sidecar.retry_budget import TargetRetryBudget
 from bulrushflow.sidecar.settings import Endpoint
 from bulrushflow.sidecar.slots import SlotPool
-from bulrushflow.sidecar.slots import Wait
+from bulrushflow.sidecar.slots import SlotRequest
 from bulrushflow.sidecar.target_client import TargetClient
 from bulrushflow.timers import Clock
 
-MAX_DEPARTED = 64
-"""Targets that left and whose late announcements are recognized."""
+MAX_DEPARTED_TARGETS = 64
+"""Departed targets that are remembered so that their delayed announcements are rejected."""
 
-Observer = t.Callable[[Call, bool, float], None]
+ResponseObserver = t.Callable[[Call, bool, float], None]
 EntryCallback = t.Callable[[TargetEntry | None], None]
 
 
 class AdmissionController:
-    """Holds the target's slots, and refuses a call before it is sent.
+    """Tracks the target, and refuses calls that it can't or may not serve before they are sent.
+
+    A call is checked against the target's state and version, waits for a slot, is checked again,
+    and counts against the retry budget if it is a retry.
 
-    :param is_forbidden: tells whether a version of a service may get no new calls.
-    :param observer: told of each answer of the target: the call, whether it failed, its seconds.
-    :param on_change: told when the others have to know another entry.
+    :param is_forbidden: returns whether a version of a service may receive no new calls.
+    :param observer: called after each call that may have run, with the call, whether it failed, and
+        the seconds it took.
+    :param on_change: called with the new entry, or ``None`` without a target, when other nodes have
+        to be informed.
     """
 
     def __init__(
         self,
-        names: HeaderNames,
+        header_names: HeaderNames,
         is_forbidden: t.Callable[[str, str], bool],
-        observer: Observer,
+        observer: ResponseObserver,
         on_change: EntryCallback,
-        repeats: TargetRetryBudget,
+        retry_budget: TargetRetryBudget,
         decisions: DecisionLog,
         clock: Clock,
     ) -> None:
         self.entry: TargetEntry | None = None
         self.endpoint: Endpoint | None = None
         self.reachable = True
-        self._names = names
+        self._header_names = header_names
         self._is_forbidden = is_forbidden
         self._observer = observer
         self._on_change = on_change
-        self._repeats = repeats
+        self._retry_budget = retry_budget
         self._decisions = decisions
         self._clock = clock
         self._slots = SlotPool(1)
         self._client: TargetClient | None = None
         self._departed: collections.OrderedDict[str, tuple[int, int]] = collections.OrderedDict()
-        self._sends: set[asyncio.Task[CallResult]] = set()
+        self._running: set[asyncio.Task[CallResult]] = set()
 
     @property
     def load(self) -> int:
-        """Slots in use, and calls that wait for one."""
+        """Number of slots in use plus calls that wait for one."""
         return self._slots.load
 
     @property
     def capacity(self) -> int:
-        """Slots of the target; 0 while it takes no calls."""
-        return self._slots.capacity if self._takes_calls() else 0
+        """Number of the target's slots; 0 while it accepts no calls."""
+        return self._slots.capacity if self._accepts_calls() else 0
 
     @property
     def in_flight(self) -> int:
-        """Calls at the target."""
-        return len(self._sends)
+        """Number of calls that were sent to the target and have not ended."""
+        return len(self._running)
 
     def apply_announcement(self, entry: TargetEntry, endpoint: Endpoint) -> bool:
-        """Take the target's word on itself; ``False`` when a newer word is held already."""
-        held = self.entry
+        """Apply a target's announcement.
+
+        :return: whether it was accepted; ``False`` when the target departed or a newer revision is
+            known.
+        """
+        current = self.entry
         departed = self._departed.get(entry.target_id)
         if departed is not None and entry.incarnation <= departed[0]:
             return False
-        if held is not None and entry.revision <= held.revision:
-            # A word that was late, perhaps of a process that ended.
-            return entry.revision == held.revision
-        replaced = held is None or held.target_id != entry.target_id
-        replaced = replaced or t.cast(TargetEntry, held).incarnation != entry.incarnation
+        if current is not None and entry.revision <= current.revision:
+            # A delayed announcement, perhaps from a process that has ended since.
+            return entry.revision == current.revision
+        replaced = current is None or current.target_id != entry.target_id
+        replaced = replaced or t.cast(TargetEntry, current).incarnation != entry.incarnation
         if replaced or endpoint != self.endpoint:
             self._replace(entry, endpoint)
         self._slots.capacity = entry.slots
-        changed = replaced or not self.reachable or not _equal(t.cast(TargetEntry, held), entry)
+        changed = (
+            replaced
+            or not self.reachable
+            or not _same_for_peers(t.cast(TargetEntry, current), entry)
+        )
         self.entry = entry
         self.reachable = True
         if entry.state is not TargetState.READY:
@@ -110,26 +126,26 @@
         return True
 
     def remove_target(self, target_id: str) -> None:
-        """Take the word of a target that it leaves for good; it gets no new calls."""
-        held = self.entry
-        if held is None or held.target_id != target_id:
-            # Its incarnation isn't known, but it began before now.
+        """Remove a target that departs for good; it receives no new calls."""
+        current = self.entry
+        if current is None or current.target_id != target_id:
+            # Its incarnation, a start time, is unknown but can't be later than now.
             self._remember_departed(target_id, (self._clock.wall_ms(), 0))
             return
-        self._remember_departed(target_id, held.revision)
-        self._decisions.event("target left", target=target_id, service=held.service)
+        self._remember_departed(target_id, current.revision)
+        self._decisions.event("target left", target=target_id, service=current.service)
         self.entry = None
         self._slots.refuse_queued("the target left")
         self._on_change(None)
 
     async def run(self, call: Call) -> CallResult:
-        """Run a call on the target, or refuse it with the certainty that it did not run."""
+        """Run a call on the target, or refuse it; a refused call certainly did not run."""
         refusal = self._refusal(call)
         slots = self._slots
         if refusal is None:
-            refusal = await slots.acquire(_wait(call))
+            refusal = await slots.acquire(_slot_request(call))
             if refusal is None:
-                refusal = self._late_refusal(call, slots)
+                refusal = self._refusal_after_wait(call, slots)
                 if refusal is None:
                     return await self._send(call, slots)
                 slots.release(call.route, None)
@@ -137,11 +153,11 @@
         return not_run(refusal)
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the idle connections to the target."""
         if self._client is not None:
             self._client.close()
 
-    def _takes_calls(self) -> bool:
+    def _accepts_calls(self) -> bool:
         entry = self.entry
         return entry is not None and entry.state is TargetState.READY and self.reachable
 
@@ -150,36 +166,39 @@
         if entry is None:
             return "no target"
         if not self.reachable:
-            return "the target takes no connections"
+            return f"the target takes no connections at {self.endpoint}"
         if entry.state is not TargetState.READY:
             return "the target takes no new calls"
         if (entry.service, entry.version) != (call.service, call.version):
-            return f"the target is {entry.service} {entry.version}"
+            return (
+                f"the target is {entry.service} {entry.version}, not {call.service} {call.version}"
+            )
         if self._is_forbidden(call.service, call.version):
             return f"version {call.version} was taken back"
         return None
 
-    def _late_refusal(self, call: Call, slots: SlotPool) -> str | None:
-        """Tell why a call that has its slot may not be sent."""
+    def _refusal_after_wait(self, call: Call, slots: SlotPool) -> str | None:
+        """Return why a call that was granted a slot may not be sent, or ``None``."""
         if slots is not self._slots:
             return "the target was replaced"
-        return self._refusal(call) or self._repeat_refusal(call)
+        return self._refusal(call) or self._retry_refusal(call)
 
-    def _repeat_refusal(self, call: Call) -> str | None:
+    def _retry_refusal(self, call: Call) -> str | None:
         now = asyncio.get_running_loop().time()
         if not call.attempt:
-            self._repeats.record_first_attempt(now)
+            self._retry_budget.record_first_attempt(now)
             return None
-        return None if self._repeats.try_consume(now) else "too many repeated calls"
+        return None if self._retry_budget.try_consume(now) else "too many repeated calls"
 
     async def _send(self, call: Call, slots: SlotPool) -> CallResult:
         task = asyncio.get_running_loop().create_task(self._exchange(call, slots))
-        self._sends.add(task)
-        task.add_done_callback(self._sends.discard)
+        self._running.add(task)
+        task.add_done_callback(self._running.discard)
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            # What may run only once is left to finish; anything else stops at the target too.
+            # A call that isn't idempotent is left to finish, since it may be running already.
+            # Cancelling an idempotent one closes its connection, which cancels it at the target.
             if call.idempotent:
                 task.cancel()
             raise
@@ -193,28 +212,28 @@
             result = await client.send(call)
             seconds = loop.time() - started_at
         finally:
-            # These slots may be a replaced target's by now.
+            # Release to the pool that granted the slot; self._slots may belong to another target.
             slots.release(call.route, seconds if seconds and result.is_ok() else None)
         match result:
-            case Ok(answer):
-                self._observer(call, answer.is_failure, seconds)
+            case Ok(response):
+                self._observer(call, response.is_failure, seconds)
             case Err(failure):
                 if failure.outcome is Outcome.UNKNOWN:
                     self._observer(call, True, seconds)
-                self._after_failure(client)
+                self._handle_failure(client)
         return result
 
-    def _after_failure(self, client: TargetClient) -> None:
+    def _handle_failure(self, client: TargetClient) -> None:
         if client is not self._client or self.entry is None:
             return
         if client.replaced:
-            self._lose("another target has the address")
+            self._drop_target(f"another target answers at {self.endpoint}")
         elif client.unreachable and self.reachable:
             self._decisions.event("target unreachable", target=self.entry.target_id)
             self.reachable = False
-            self._slots.refuse_queued("the target takes no connections")
+            self._slots.refuse_queued(f"the target takes no connections at {self.endpoint}")
 
-    def _lose(self, reason: str) -> None:
+    def _drop_target(self, reason: str) -> None:
         entry = t.cast(TargetEntry, self.entry)
         self._decisions.event("target lost", target=entry.target_id, reason=reason)
         self._remember_departed(entry.target_id, entry.revision)
@@ -222,9 +241,9 @@
         self._slots.refuse_queued(reason)
         self._on_change(None)
 
-    def _remember_departed(self, target_id: str, order: tuple[int, int]) -> None:
-        self._departed[target_id] = order
-        while len(self._departed) > MAX_DEPARTED:
+    def _remember_departed(self, target_id: str, revision: tuple[int, int]) -> None:
+        self._departed[target_id] = revision
+        while len(self._departed) > MAX_DEPARTED_TARGETS:
             self._departed.popitem(last=False)
 
     def _replace(self, entry: TargetEntry, endpoint: Endpoint) -> None:
@@ -232,17 +251,17 @@
         if self._client is not None:
             self._client.close()
         self._slots = SlotPool(entry.slots)
-        self._client = TargetClient(endpoint, entry.target_id, self._names)
+        self._client = TargetClient(endpoint, entry.target_id, self._header_names)
         self.endpoint = endpoint
 
 
-def _wait(call: Call) -> Wait:
-    return Wait(call.route, call.priority, call.late_after, call.deadline)
+def _slot_request(call: Call) -> SlotRequest:
+    return SlotRequest(call.route, call.priority, call.late_after, call.deadline)
 
 
-def _equal(held: TargetEntry, entry: TargetEntry) -> bool:
-    """Tell whether the others know all of an entry already."""
-    return (held.service, held.version, held.slots, held.state) == (
+def _same_for_peers(current: TargetEntry, entry: TargetEntry) -> bool:
+    """Return whether two entries are equal in the fields that other nodes act on."""
+    return (current.service, current.version, current.slots, current.state) == (
         entry.service,
         entry.version,
         entry.slots,
--- a/src/bulrushflow/sidecar/forwarding.py
+++ b/src/bulrushflow/sidecar/forwarding.py
@@ -1,4 +1,4 @@
-"""Calls between nodes: sent to the node beside the chosen target, and run for the others."""
+"""Forwarding of calls between nodes."""
 
 import asyncio
 import typing as t
@@ -19,75 +19,81 @@
 from bulrushflow.wire import codec
 from bulrushflow.wire.links import Links
 
-CALL_CONNECT_S = 0.3
-"""Longest wait of a call for a connection; another target is tried instead."""
-FIRST_RECHECK_S = 0.02
-MAX_RECHECK_S = 1.5
+CONNECT_TIMEOUT_S = 0.3
+"""Time that a call waits for a connection to a node before another target is tried."""
+MIN_RECHECK_INTERVAL_S = 0.02
+MAX_RECHECK_INTERVAL_S = 1.5
+"""Bounds of the exponential backoff between attempts to connect to an unreachable node."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerReport:
-    """What came of one attempt at another node, besides the call's outcome."""
+    """What one attempt showed about the other node, besides the call's outcome."""
 
     reached: bool
-    """Whether the node answered at all."""
+    """Whether the node responded at all."""
     load: float | None = None
-    """Calls per slot; ``None`` while its target takes no calls."""
+    """Calls per slot; ``None`` while the node's target accepts no calls."""
 
 
 class PeerForwarder:
     """Sends calls to other nodes, and runs the calls that they send.
 
-    :param orders: follows the operator's records; the nodes tell each other how far they are.
-    :param is_known: tells whether the directory still has a peer.
+    Calls and responses carry the sender's read offset in the operator's records, by which a node
+    notices that its own reads lag behind.
+
+    :param orders: replica of the operator's records.
+    :param is_current: returns whether the directory still contains a peer.
     """
 
     def __init__(
         self,
         links: Links,
-        gate: AdmissionController,
+        admission: AdmissionController,
         orders: Replica,
         is_current: t.Callable[[Peer], bool],
         decisions: DecisionLog,
     ) -> None:
         self._links = links
-        self._gate = gate
+        self._admission = admission
         self._orders = orders
-        self._is_known = is_current
+        self._is_current = is_current
         self._decisions = decisions
         self._rechecks: set[asyncio.Task[None]] = set()
         links.handle("call_request", self._serve)
 
     async def send(self, endpoint: tuple[str, int], call: Call) -> tuple[CallResult, PeerReport]:
-        """Run a call through another node."""
+        """Run a call through the node at ``endpoint``."""
         now = asyncio.get_running_loop().time()
-        left_s = call.deadline - now
-        if left_s <= 0:
-            return refused("no time left"), PeerReport(True, 0.0)
-        request = codec.call_to_message(call, left_s)
+        remaining_s = call.deadline - now
+        if remaining_s <= 0:
+            return refused(f"no time left: {remaining_s:.3f} s"), PeerReport(True, 0.0)
+        request = codec.call_to_message(call, remaining_s)
         request.read_offset = self._orders.offset
         request.useful_ms = max(0, int((call.late_after - now) * 1000))
-        match await self._links.exchange(endpoint, left_s, CALL_CONNECT_S, call_request=request):
+        match await self._links.exchange(
+            endpoint, remaining_s, CONNECT_TIMEOUT_S, call_request=request
+        ):
             case Err(error):
                 result = (unknown if error.sent else not_run)(error.reason)
                 return result, PeerReport(False)
             case Ok(frame) if frame.call_answer is not None:
-                answer = frame.call_answer
+                response = frame.call_answer
             case _:
-                return unknown("the other node answered something else"), PeerReport(False)
-        self._orders.hint(answer.read_offset or 0)
-        load = answer.in_flight / answer.capacity if answer.capacity else None
-        return codec.result_from_message(answer), PeerReport(True, load)
+                return unknown("unexpected message instead of a call answer"), PeerReport(False)
+        self._orders.note_peer_offset(response.read_offset or 0)
+        load = response.in_flight / response.capacity if response.capacity else None
+        return codec.result_from_message(response), PeerReport(True, load)
 
     @property
-    def rechecking(self) -> int:
-        """Nodes that are looked for."""
+    def recheck_count(self) -> int:
+        """Number of unreachable nodes that are being reconnected to."""
         return len(self._rechecks)
 
     def mark_unreachable(self, peer: Peer) -> None:
-        """Take a node for unreachable until a connection to it can be opened.
+        """Exclude a node from calls until a connection to it can be opened.
 
-        No call waits for the attempts.
+        Connecting is retried in the background; no call waits for it.
         """
         if peer.unreachable:
             return
@@ -98,25 +104,25 @@
         task.add_done_callback(self._rechecks.discard)
 
     def close(self) -> None:
-        """Stop looking for lost nodes."""
+        """Stop reconnecting to unreachable nodes."""
         for task in self._rechecks:
             task.cancel()
 
     async def _recheck(self, peer: Peer) -> None:
-        wait_s = FIRST_RECHECK_S
-        while self._is_known(peer):
+        wait_s = MIN_RECHECK_INTERVAL_S
+        while self._is_current(peer):
             if await self._links.reach(peer.entry.endpoint):
                 peer.unreachable = False
                 self._decisions.event("node reached", node=peer.entry.node_id)
                 return
             await asyncio.sleep(wait_s)
-            wait_s = min(MAX_RECHECK_S, wait_s * 2)
+            wait_s = min(MAX_RECHECK_INTERVAL_S, wait_s * 2)
 
     async def _serve(self, message: t.Any) -> dict[str, t.Any]:
-        self._orders.hint(message.read_offset or 0)
+        self._orders.note_peer_offset(message.read_offset or 0)
         call = codec.call_from_message(message, asyncio.get_running_loop().time())
-        result = await self._gate.run(call)
-        gate = self._gate
-        answer = codec.result_to_message(result, gate.load, gate.capacity)
-        answer.read_offset = self._orders.offset
-        return {"call_answer": answer}
+        result = await self._admission.run(call)
+        admission = self._admission
+        response = codec.result_to_message(result, admission.load, admission.capacity)
+        response.read_offset = self._orders.offset
+        return {"call_answer": response}
