--- a/src/bulrushflow/configuration/store.py
+++ b/src/bulrushflow/configuration/store.py
@@ -146,7 +146,7 @@
     def _set_unsupported(self, reason: str) -> None:
         if reason and reason != self.unsupported:
             logger.error(
-                "version {} stays in force, this release can't apply the next record: {}",
+                "version {} stays in force, this release can't go on: {}",
                 self.current.offset,
                 reason,
             )
--- a/src/bulrushflow/sidecar/exchange.py
+++ b/src/bulrushflow/sidecar/exchange.py
@@ -128,7 +128,7 @@
                     return
                 self._handle_event(event)
         except h11.RemoteProtocolError as exc:
-            self._fail(f"malformed HTTP response: {exc}")
+            self._fail(f"no HTTP answer: {exc}")
 
     def _handle_event(self, event: t.Any) -> None:
         if isinstance(event, h11.Response):
