--- a/tests/configuration/test_fold_properties.py
+++ b/tests/configuration/test_fold_properties.py
@@ -61,6 +61,10 @@
         state = EMPTY_CONFIGURATION
         for record in log:
             after = fold(state, record)
+            if after.offset == state.offset:
+                # The fold stops before a record that this release does not support.
+                self.assertEqual(after, state)
+                break
             new = [v for v in after.verdicts_by_publish_id.values() if v.offset == record.offset]
             self.assertLessEqual(len(new), 1)
             if after.offset != state.offset and not any(v.accepted for v in new):
