--- a/src/bulrushflow/sidecar/application.py
+++ b/src/bulrushflow/sidecar/application.py
@@ -45,14 +45,14 @@
 from bulrushflow.wire.links import Links
 
 MAX_ROUTE_LABELS = 64
-CHECK_S = 0.5
-CALLERS_NOTICE_S = 2.8
+RETRY_BUDGET_UPDATE_S = 0.5
+READINESS_PROPAGATION_S = 2.8
 """Callers notice within so long that a stopping node is not ready; calls go on until then."""
-STOP_MARGIN_S = 0.6
+SHUTDOWN_MARGIN_S = 0.6
 """Time kept before the kill for closing what is left."""
-CLOSE_S = 0.1
+CONNECTION_CLOSE_TIMEOUT_S = 0.1
 """Time that a listener's connections get to write what is left."""
-POLL_S = 0.05
+DRAIN_POLL_S = 0.05
 
 
 class Sidecar(Service):
@@ -68,13 +68,13 @@
         self._rng = random.Random()
         self._decisions = DecisionLog()
         self._metrics = Metrics(MAX_ROUTE_LABELS)
-        self._own_key = node_key(settings.address)
+        self._own_node_key = node_key(settings.address)
         self._stopping = False
         self._runners: list[web.AppRunner | web.ServerRunner] = []
         self.timers = Timers(self._rng)
         self._links = Links(settings.address, settings.peer_port, self.timers)
         self.directory = Directory()
-        self._moves = Rollouts(
+        self._rollouts = Rollouts(
             settings.node_id,
             self._clock.wall_ms(),
             self._decisions,
@@ -88,16 +88,20 @@
         )
         self._admission = AdmissionController(
             adapter.header_names,
-            self._moves.is_forbidden,
-            self._observe,
-            self._announce_target,
+            self._rollouts.is_forbidden,
+            self._record_response,
+            self._publish_target,
             self._retry_budget,
             self._decisions,
             self._clock,
         )
         self._build_replicas(adapter, store)
         self._forwarder = PeerForwarder(
-            self._links, self._admission, self._orders, self.directory.is_current, self._decisions
+            self._links,
+            self._admission,
+            self._operator_replica,
+            self.directory.is_current,
+            self._decisions,
         )
         self._dispatcher = Dispatcher(
             settings.address,
@@ -105,7 +109,7 @@
             self._admission,
             self._forwarder,
             Balancer(settings.data_centre, self._rng, self._clock.wall_ms),
-            self._moves.filter_peers,
+            self._rollouts.filter_peers,
             self._metrics,
             self._decisions,
             self._rng,
@@ -122,28 +126,30 @@
 
     def _build_replicas(self, adapter: Adapter, store: Store) -> None:
         topics = adapter.topics
-        nodes = NodeEntryHandler(self.directory, self._own_key, self._found_own, self._decisions)
-        statuses = RolloutStatusHandler(adapter.decode_status, self._take_status, self._decisions)
-        self._orders = Replica(
+        nodes = NodeEntryHandler(
+            self.directory, self._own_node_key, self._on_own_entry, self._decisions
+        )
+        statuses = RolloutStatusHandler(adapter.decode_status, self._apply_status, self._decisions)
+        self._operator_replica = Replica(
             store, topics.orders, adapter.operator_record_handler(self), self._decisions, self._rng
         )
-        self._nodes = Replica(store, topics.nodes, nodes, self._decisions, self._rng)
-        self._statuses = Replica(store, topics.statuses, statuses, self._decisions, self._rng)
+        self._node_replica = Replica(store, topics.nodes, nodes, self._decisions, self._rng)
+        self._status_replica = Replica(store, topics.statuses, statuses, self._decisions, self._rng)
 
     async def on_start(self) -> None:
         await self.timers.start()
         await self._links.start()
         self._driver = RolloutDriver(
-            self._own_key,
+            self._own_node_key,
             self.settings.node_id,
             lambda: self.settings.own_service,
-            self._moves,
+            self._rollouts,
             self.directory,
             self._links,
             StatusLog(
                 self._store,
                 self._adapter.topics.statuses,
-                self._statuses,
+                self._status_replica,
                 self._adapter.encode_status,
             ),
             self.timers,
@@ -151,7 +157,7 @@
             self._decisions,
         )
         await self._registration.start()
-        for replica in (self._orders, self._nodes, self._statuses):
+        for replica in (self._operator_replica, self._node_replica, self._status_replica):
             await replica.start()
         application = announcement_application(
             self._adapter.paths,
@@ -166,34 +172,39 @@
         metrics = Endpoint(self.settings.address, self.settings.metrics_port)
         await self._serve_application(metrics_application(self._metrics), metrics)
         await self._serve(
-            web.ServerRunner(self._callers.server(), shutdown_timeout=CLOSE_S),
+            web.ServerRunner(self._callers.server(), shutdown_timeout=CONNECTION_CLOSE_TIMEOUT_S),
             self.settings.callers,
         )
-        self.timers.subscribe("repeats", CHECK_S, self._update_retry_budget)
+        self.timers.subscribe("repeats", RETRY_BUDGET_UPDATE_S, self._update_retry_budget)
         logger.bind(node=self.settings.node_id, service=self.settings.own_service).info("started")
 
     async def on_stop(self) -> None:
         """Serve until callers know that this node stops, finish what is in flight, then close."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        ends_at = started_at + self.settings.bounds.grace_s - STOP_MARGIN_S
+        deadline = started_at + self.settings.bounds.grace_s - SHUTDOWN_MARGIN_S
         self._stopping = True
         self._callers.stopping = True
         logger.bind(in_flight=self._callers.in_flight).info("stopping")
-        await asyncio.sleep(CALLERS_NOTICE_S)
+        await asyncio.sleep(READINESS_PROPAGATION_S)
         # Callers that have too few other nodes go on; they are sent away while there is time.
         self._callers.closed = True
         # The others are told as late as possible: until then the target is served.
-        if not await self._links.drain(ends_at - loop.time()):
+        if not await self._links.drain(deadline - loop.time()):
             logger.warning("calls of other nodes were still in flight")
         while self._callers.in_flight or self._admission.in_flight:
-            if loop.time() >= ends_at:
+            if loop.time() >= deadline:
                 logger.warning("calls were still in flight")
                 break
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(DRAIN_POLL_S)
         for runner in reversed(self._runners):
             await runner.cleanup()
-        for service in (self._orders, self._nodes, self._statuses, self._registration):
+        for service in (
+            self._operator_replica,
+            self._node_replica,
+            self._status_replica,
+            self._registration,
+        ):
             await service.stop()
         await self.timers.stop()
         self._forwarder.close()
@@ -204,7 +215,7 @@
 
     def is_ready(self) -> bool:
         """Tell whether callers should use this node."""
-        return not self._stopping and bool(self.routing.version) and self._nodes.loaded
+        return not self._stopping and bool(self.routing.version) and self._node_replica.loaded
 
     def reload(self, settings: SidecarSettings) -> None:
         """Put other settings in force; addresses that are listened on stay until a restart."""
@@ -214,7 +225,7 @@
         self.settings = settings
         bounds = settings.bounds
         self._retry_budget.configure(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s)
-        self._moves.configure(_exposure_limits(bounds))
+        self._rollouts.configure(_exposure_limits(bounds))
         changed = [
             f.name for f in fields(settings) if getattr(settings, f.name) != getattr(before, f.name)
         ]
@@ -231,38 +242,38 @@
 
     def order_rollout(self, order: RolloutOrder) -> None:
         """See :meth:`OrderSink.order_rollout`."""
-        self._moves.apply_order(order, asyncio.get_running_loop().time())
+        self._rollouts.apply_order(order, asyncio.get_running_loop().time())
 
     def withdraw_rollout(self, service: str) -> None:
         """See :meth:`OrderSink.withdraw_rollout`."""
-        self._moves.remove_order(service)
+        self._rollouts.remove_order(service)
 
     def report_unreadable(self, key: str, reason: str) -> None:
         """See :meth:`OrderSink.report_unreadable`."""
         self._decisions.event("record unreadable", key=key, reason=reason)
 
-    def _take_status(self, status: RolloutStatus) -> None:
-        self._moves.apply_status(status, asyncio.get_running_loop().time(), recorded=True)
+    def _apply_status(self, status: RolloutStatus) -> None:
+        self._rollouts.apply_status(status, asyncio.get_running_loop().time(), recorded=True)
 
-    def _observe(self, call: Call, failed: bool, seconds: float) -> None:
+    def _record_response(self, call: Call, failed: bool, seconds: float) -> None:
         entry = self._admission.entry
         warming = entry is not None and entry.warm_at_ms > self._clock.wall_ms()
-        self._moves.observe_call(call, failed, seconds, warming)
+        self._rollouts.observe_call(call, failed, seconds, warming)
 
-    def _announce_target(self, entry: TargetEntry | None) -> None:
+    def _publish_target(self, entry: TargetEntry | None) -> None:
         settings = self.settings
         own = NodeEntry(
             settings.node_id, settings.data_centre, settings.address, settings.peer_port, entry
         )
-        self.directory.update(self._own_key, own)
-        self._registration.want(own)
+        self.directory.update(self._own_node_key, own)
+        self._registration.publish(own)
 
-    def _found_own(self, entry: NodeEntry | None) -> None:
+    def _on_own_entry(self, entry: NodeEntry | None) -> None:
         """Take up the target that the store has for this address, before it announces itself."""
-        first = not self._nodes.loaded
-        self._registration.found(entry)
+        initial_load = not self._node_replica.loaded
+        self._registration.reconcile(entry)
         settings = self.settings
-        if not first or self._admission.entry is not None or settings.target is None:
+        if not initial_load or self._admission.entry is not None or settings.target is None:
             return
         if entry is not None and entry.target is not None:
             self._admission.apply_announcement(entry.target, settings.target)
@@ -272,7 +283,10 @@
         self._retry_budget.target_count = max(1, len(self.directory.ready_peers(service)))
 
     async def _serve_application(self, app: web.Application, endpoint: Endpoint) -> None:
-        await self._serve(web.AppRunner(app, access_log=None, shutdown_timeout=CLOSE_S), endpoint)
+        await self._serve(
+            web.AppRunner(app, access_log=None, shutdown_timeout=CONNECTION_CLOSE_TIMEOUT_S),
+            endpoint,
+        )
 
     async def _serve(self, runner: web.AppRunner | web.ServerRunner, endpoint: Endpoint) -> None:
         await runner.setup()
--- a/src/bulrushflow/sidecar/decisions.py
+++ b/src/bulrushflow/sidecar/decisions.py
@@ -11,25 +11,25 @@
 LINES_PER_S = 5.0
 """Lines of one kind a second; what is beyond is counted and told with the next line."""
 BURST_LINES = 20.0
-SUCCESS_EVERY = 100
-"""One answered call in so many is told; failures are told up to the bound."""
+SUCCESS_SAMPLE_INTERVAL = 100
+"""One answered call in so many is told; failures are told up to the bucket."""
 
 
-class _Bound:
+class _TokenBucket:
     """A token bucket for one kind of line."""
 
-    __slots__ = ("at", "left_out", "tokens")
+    __slots__ = ("suppressed", "tokens", "updated_at")
 
     def __init__(self, now: float) -> None:
         self.tokens = BURST_LINES
-        self.at = now
-        self.left_out = 0
+        self.updated_at = now
+        self.suppressed = 0
 
-    def take(self, now: float) -> bool:
-        self.tokens = min(BURST_LINES, self.tokens + (now - self.at) * LINES_PER_S)
-        self.at = now
+    def try_consume(self, now: float) -> bool:
+        self.tokens = min(BURST_LINES, self.tokens + (now - self.updated_at) * LINES_PER_S)
+        self.updated_at = now
         if self.tokens < 1:
-            self.left_out += 1
+            self.suppressed += 1
             return False
         self.tokens -= 1
         return True
@@ -38,10 +38,10 @@
 class DecisionLog:
     """Writes what touches a call or changes what this process believes."""
 
-    __slots__ = ("_answered", "_bounds_by_kind")
+    __slots__ = ("_answered", "_buckets_by_event")
 
     def __init__(self) -> None:
-        self._bounds_by_kind: dict[str, _Bound] = {}
+        self._buckets_by_event: dict[str, _TokenBucket] = {}
         self._answered = 0
 
     def event(self, event: str, **inputs: t.Any) -> None:
@@ -62,17 +62,17 @@
         """Tell that a call failed."""
         self._call("call failed", call, outcome=outcome, **inputs)
 
-    def answered(self, call: Call, answer: Response, late: bool, **inputs: t.Any) -> None:
+    def answered(self, call: Call, response: Response, late: bool, **inputs: t.Any) -> None:
         """Tell of an answered call; those in time and without an error are mostly left out."""
         if late:
-            self._call("call answered late", call, status=answer.status, **inputs)
+            self._call("call answered late", call, status=response.status, **inputs)
             return
-        if answer.is_failure:
-            self._call("target answered with an error", call, status=answer.status, **inputs)
+        if response.is_failure:
+            self._call("target answered with an error", call, status=response.status, **inputs)
             return
         self._answered += 1
-        if self._answered % SUCCESS_EVERY == 0:
-            self._call("call answered", call, status=answer.status, **inputs)
+        if self._answered % SUCCESS_SAMPLE_INTERVAL == 0:
+            self._call("call answered", call, status=response.status, **inputs)
 
     def _call(self, event: str, call: Call, **fields: t.Any) -> None:
         names = {"request": call.request_id, "route": call.route, "service": call.service}
@@ -80,12 +80,12 @@
 
     def _write(self, event: str, fields: dict[str, t.Any]) -> None:
         now = asyncio.get_running_loop().time()
-        bound = self._bounds_by_kind.get(event)
-        if bound is None:
-            bound = self._bounds_by_kind[event] = _Bound(now)
-        if not bound.take(now):
+        bucket = self._buckets_by_event.get(event)
+        if bucket is None:
+            bucket = self._buckets_by_event[event] = _TokenBucket(now)
+        if not bucket.try_consume(now):
             return
-        if bound.left_out:
-            fields["left_out"] = bound.left_out
-            bound.left_out = 0
+        if bucket.suppressed:
+            fields["left_out"] = bucket.suppressed
+            bucket.suppressed = 0
         logger.bind(**fields).info(event)
--- a/src/bulrushflow/sidecar/directory.py
+++ b/src/bulrushflow/sidecar/directory.py
@@ -14,9 +14,9 @@
 """Time in which a reported load loses half of its weight."""
 MAX_BACKOFF_S = 2.0
 FIRST_BACKOFF_S = 0.1
-EJECT_FAILURES = 0.4
+EJECTION_FAILURE_RATE = 0.4
 """Smoothed share of failures from which a target gets no calls for a while."""
-EJECT_S = 2.0
+EJECTION_S = 2.0
 
 
 @dataclass(slots=True)
@@ -54,9 +54,9 @@
         if not failed:
             weight = LATENCY_SMOOTHING if self.latency_s else 1.0
             self.latency_s += (seconds - self.latency_s) * weight
-        if self.failure_rate >= EJECT_FAILURES:
-            self.ejected_until = now + EJECT_S
-            self.failure_rate = EJECT_FAILURES / 2
+        if self.failure_rate >= EJECTION_FAILURE_RATE:
+            self.ejected_until = now + EJECTION_S
+            self.failure_rate = EJECTION_FAILURE_RATE / 2
 
     def mark_unavailable(self, now: float) -> None:
         """Take in that the node has no target that takes calls now."""
@@ -78,17 +78,17 @@
 
     def update(self, key: str, entry: NodeEntry) -> None:
         """Take in a node's newest entry. A new target starts without a record."""
-        held = self.peers_by_key.get(key)
-        if held is not None:
-            self._unlist(held)
-        if held is not None and _same_target(held.entry, entry):
-            held.entry = entry
-            held.unavailable_until = 0.0
+        current = self.peers_by_key.get(key)
+        if current is not None:
+            self._remove_from_ready(current)
+        if current is not None and _same_target(current.entry, entry):
+            current.entry = entry
+            current.unavailable_until = 0.0
         else:
-            held = self.peers_by_key[key] = Peer(entry)
+            current = self.peers_by_key[key] = Peer(entry)
         target = entry.target
         if target is not None and target.state is TargetState.READY:
-            self._ready_by_service.setdefault(target.service, []).append(held)
+            self._ready_by_service.setdefault(target.service, []).append(current)
 
     def is_current(self, peer: Peer) -> bool:
         """Tell whether a peer is still the one of its address."""
@@ -98,7 +98,7 @@
         """Forget a node."""
         peer = self.peers_by_key.pop(key, None)
         if peer is not None:
-            self._unlist(peer)
+            self._remove_from_ready(peer)
 
     def retain(self, keys: t.Collection[str]) -> None:
         """Forget every other node."""
@@ -109,7 +109,7 @@
         """Return the peers whose target takes calls of a service."""
         return self._ready_by_service.get(service, ())
 
-    def _unlist(self, peer: Peer) -> None:
+    def _remove_from_ready(self, peer: Peer) -> None:
         target = peer.entry.target
         listed = self._ready_by_service.get(target.service, []) if target is not None else []
         # By identity: two peers may be equal in all that is known of them.
@@ -119,8 +119,8 @@
                 return
 
 
-def _same_target(held: NodeEntry, entry: NodeEntry) -> bool:
-    if held.target is None or entry.target is None or held.endpoint != entry.endpoint:
+def _same_target(current: NodeEntry, entry: NodeEntry) -> bool:
+    if current.target is None or entry.target is None or current.endpoint != entry.endpoint:
         return False
-    same_id = held.target.target_id == entry.target.target_id
-    return same_id and held.target.incarnation == entry.target.incarnation
+    same_id = current.target.target_id == entry.target.target_id
+    return same_id and current.target.incarnation == entry.target.incarnation
--- a/src/bulrushflow/sidecar/endpoints.py
+++ b/src/bulrushflow/sidecar/endpoints.py
@@ -15,10 +15,10 @@
 from bulrushflow.sidecar.registration import Registration
 from bulrushflow.sidecar.settings import Endpoint
 
-ACKNOWLEDGE_S = 0.6
+ACKNOWLEDGE_TIMEOUT_S = 0.6
 """Longest wait for the store before a leave is acknowledged; the target waits for a second."""
 
-Decoder = t.Callable[[str, bytes], Result[tuple[TargetEntry, Endpoint], str]]
+AnnouncementDecoder = t.Callable[[str, bytes], Result[tuple[TargetEntry, Endpoint], str]]
 
 
 class AnnouncementPaths(t.NamedTuple):
@@ -31,7 +31,7 @@
 
 def announcement_application(
     paths: AnnouncementPaths,
-    decode: Decoder,
+    decode: AnnouncementDecoder,
     admission: AdmissionController,
     registration: Registration,
     decisions: DecisionLog,
@@ -57,17 +57,17 @@
                 sequence=entry.sequence,
             )
         elif entry.state is not TargetState.READY:
-            await registration.settled(ACKNOWLEDGE_S)
+            await registration.wait_written(ACKNOWLEDGE_TIMEOUT_S)
         return web.json_response({})
 
-    async def leave(request: web.Request) -> web.Response:
+    async def deregister(request: web.Request) -> web.Response:
         admission.remove_target(request.match_info["target_id"])
-        await registration.settled(ACKNOWLEDGE_S)
+        await registration.wait_written(ACKNOWLEDGE_TIMEOUT_S)
         return web.json_response({})
 
     app = web.Application()
     app.router.add_put(paths.targets, announce)
-    app.router.add_delete(paths.targets, leave)
+    app.router.add_delete(paths.targets, deregister)
     return app
 
 
--- a/src/bulrushflow/sidecar/record_handlers.py
+++ b/src/bulrushflow/sidecar/record_handlers.py
@@ -35,11 +35,11 @@
 
     def replace(self, records: t.Sequence[KeyedRecord]) -> None:
         """See :meth:`RecordHandler.replace`."""
-        held = [record for record in records if record.value]
-        if all(record.key != self._own_key for record in held):
+        present = [record for record in records if record.value]
+        if all(record.key != self._own_key for record in present):
             self._on_own(None)
-        self._directory.retain({record.key for record in held} | {self._own_key})
-        for record in held:
+        self._directory.retain({record.key for record in present} | {self._own_key})
+        for record in present:
             self.apply(record)
 
     def apply(self, record: KeyedRecord) -> None:
@@ -47,7 +47,7 @@
         if not record.key.startswith(NODE_KEY_PREFIX):
             return
         if not record.value:
-            self._drop(record)
+            self._remove(record)
             return
         match decode_node_entry(record.value):
             case Err(reason):
@@ -55,9 +55,9 @@
             case Ok(entry) if record.key == self._own_key:
                 self._on_own(entry)
             case Ok(entry):
-                self._put(record, entry)
+                self._update(record, entry)
 
-    def _put(self, record: KeyedRecord, entry: NodeEntry) -> None:
+    def _update(self, record: KeyedRecord, entry: NodeEntry) -> None:
         self._directory.update(record.key, entry)
         target = entry.target
         self._decisions.event(
@@ -68,7 +68,7 @@
             offset=record.offset,
         )
 
-    def _drop(self, record: KeyedRecord) -> None:
+    def _remove(self, record: KeyedRecord) -> None:
         if record.key == self._own_key:
             self._on_own(None)
             return
--- a/src/bulrushflow/sidecar/registration.py
+++ b/src/bulrushflow/sidecar/registration.py
@@ -29,29 +29,29 @@
         self._topic = topic
         self._decisions = decisions
         self._rng = rng
-        self._wanted: NodeEntry | None = None
-        self._written: NodeEntry | None = None
+        self._desired: NodeEntry | None = None
+        self._stored: NodeEntry | None = None
         self._changed = asyncio.Event()
-        self._settled = asyncio.Event()
+        self._in_sync = asyncio.Event()
 
-    def want(self, entry: NodeEntry) -> None:
+    def publish(self, entry: NodeEntry) -> None:
         """Have the store hold an entry."""
-        self._wanted = entry
-        if entry != self._written:
-            self._settled.clear()
+        self._desired = entry
+        if entry != self._stored:
+            self._in_sync.clear()
             self._changed.set()
 
-    def found(self, entry: NodeEntry | None) -> None:
+    def reconcile(self, entry: NodeEntry | None) -> None:
         """Take in what the store holds; it is corrected where it differs."""
-        self._written = entry
-        if self._wanted is not None:
-            self.want(self._wanted)
+        self._stored = entry
+        if self._desired is not None:
+            self.publish(self._desired)
 
-    async def settled(self, timeout_s: float) -> bool:
+    async def wait_written(self, timeout_s: float) -> bool:
         """Wait until the store holds what is wanted; ``False`` when that takes too long."""
         try:
             async with asyncio.timeout(timeout_s):
-                await self._settled.wait()
+                await self._in_sync.wait()
         except TimeoutError:
             return False
         return True
@@ -62,18 +62,18 @@
         while True:
             await self._changed.wait()
             self._changed.clear()
-            entry = self._wanted
-            if entry is None or entry == self._written:
-                self._settled.set()
+            entry = self._desired
+            if entry is None or entry == self._stored:
+                self._in_sync.set()
                 continue
             write = StoreWrite(node_key(entry.address), encode_node_entry(entry))
             match await self._store.append(self._topic, [write]):
                 case Ok(offset):
-                    self._written = entry
+                    self._stored = entry
                     backoff_s = FIRST_BACKOFF_S
                     self._decisions.event("entry written", offset=offset)
-                    if entry == self._wanted:
-                        self._settled.set()
+                    if entry == self._desired:
+                        self._in_sync.set()
                 case Err(error):
                     self._decisions.event("entry not written", reason=error.message)
                     await asyncio.sleep(self._rng.uniform(0.5, 1.0) * backoff_s)
--- a/tests/sidecar/test_application.py
+++ b/tests/sidecar/test_application.py
@@ -90,7 +90,7 @@
 
 class SidecarTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        patch = mock.patch.object(application, "CALLERS_NOTICE_S", 0.05)
+        patch = mock.patch.object(application, "READINESS_PROPAGATION_S", 0.05)
         patch.start()
         self.addCleanup(patch.stop)
         self.store = StoreStandIn()
@@ -166,7 +166,7 @@
     async def test_a_leave_is_acknowledged_while_the_store_is_away(self) -> None:
         await self.serve()
         self.store.status = 503
-        with mock.patch("bulrushflow.sidecar.endpoints.ACKNOWLEDGE_S", 0.01):
+        with mock.patch("bulrushflow.sidecar.endpoints.ACKNOWLEDGE_TIMEOUT_S", 0.01):
             self.assertEqual(await self.announce(1, "draining", 2), 200)
         for i in range(20):
             self.assertEqual((await self.call(i % 2, f"c-{i}"))[0], 200)
--- a/tests/sidecar/test_decisions.py
+++ b/tests/sidecar/test_decisions.py
@@ -9,7 +9,7 @@
 from bulrushflow.logs import BoundedWriter
 from bulrushflow.routing import Response
 from bulrushflow.sidecar.decisions import BURST_LINES
-from bulrushflow.sidecar.decisions import SUCCESS_EVERY
+from bulrushflow.sidecar.decisions import SUCCESS_SAMPLE_INTERVAL
 from bulrushflow.sidecar.decisions import DecisionLog
 from tests.sidecar.samples import call
 
@@ -39,7 +39,7 @@
 
     async def test_most_answers_in_time_are_left_out_and_no_late_one(self) -> None:
         decisions = DecisionLog()
-        for _ in range(SUCCESS_EVERY):
+        for _ in range(SUCCESS_SAMPLE_INTERVAL):
             decisions.answered(call(), Response(200, (), b""), False)
         self.assertEqual(len(self.lines), 1)
         decisions.answered(call("r-2"), Response(200, (), b""), True)
--- a/tests/sidecar/test_replica.py
+++ b/tests/sidecar/test_replica.py
@@ -12,7 +12,7 @@
 from tests.waiting import until
 
 
-class Kept:
+class RecordingHandler:
     def __init__(self) -> None:
         self.by_key: dict[str, bytes] = {}
         self.replaced = 0
@@ -27,13 +27,13 @@
 
 class ReplicaTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        for name in ("PAUSE_S", "BEHIND_S", "FIRST_BACKOFF_S", "MAX_BACKOFF_S"):
+        for name in ("BATCH_PAUSE_S", "LAG_TOLERANCE_S", "FIRST_BACKOFF_S", "MAX_BACKOFF_S"):
             patch = mock.patch.object(replica_module, name, 0.001)
             patch.start()
             self.addCleanup(patch.stop)
         self.store = MemoryStore()
-        self.kept = Kept()
-        self.replica = Replica(self.store, "x", self.kept, DecisionLog(), random.Random(1))
+        self.handler = RecordingHandler()
+        self.replica = Replica(self.store, "x", self.handler, DecisionLog(), random.Random(1))
 
     async def start(self) -> None:
         await self.replica.start()
@@ -44,7 +44,7 @@
         self.store.put("a", b"1")
         await self.start()
         self.store.put("a", b"2")
-        await until(lambda: self.kept.by_key == {"a": b"2"})
+        await until(lambda: self.handler.by_key == {"a": b"2"})
 
     async def test_a_read_that_others_are_ahead_of_is_made_anew(self) -> None:
         await self.start()
@@ -52,15 +52,15 @@
         self.store.misses_wakeups = True
         self.store.put("a", b"1")
         await asyncio.sleep(0.01)
-        self.assertEqual(self.kept.by_key, {})
-        self.replica.hint(1)
-        await until(lambda: self.kept.by_key == {"a": b"1"})
+        self.assertEqual(self.handler.by_key, {})
+        self.replica.note_peer_offset(1)
+        await until(lambda: self.handler.by_key == {"a": b"1"})
 
     async def test_a_hint_at_what_is_held_already_changes_nothing(self) -> None:
         self.store.put("a", b"1")
         await self.start()
         await until(lambda: bool(self.store.reads))
-        self.replica.hint(1)
+        self.replica.note_peer_offset(1)
         await asyncio.sleep(0.01)
         self.assertEqual(len(self.store.reads), 1)
 
@@ -70,7 +70,7 @@
         self.store.first_offset = 2
         self.store.put("a", b"1")
         self.store.put("b", b"2")
-        await until(lambda: self.kept.by_key == {"a": b"1", "b": b"2"})
+        await until(lambda: self.handler.by_key == {"a": b"1", "b": b"2"})
 
     async def test_an_outage_keeps_what_is_held_and_ends(self) -> None:
         self.store.put("a", b"1")
@@ -79,5 +79,5 @@
         self.store.put("a", b"2")
         await asyncio.sleep(0.01)
         self.store.unavailable = False
-        await until(lambda: self.kept.by_key == {"a": b"2"})
+        await until(lambda: self.handler.by_key == {"a": b"2"})
         self.assertTrue(self.replica.loaded)
