--- a/src/bulrushflow/platform/adapter.py
+++ b/src/bulrushflow/platform/adapter.py
@@ -33,18 +33,18 @@
     def apply(self, record: KeyedRecord) -> None:
         """See :meth:`RecordHandler.apply`."""
         if record.key == documents.CONFIGURATION_KEY:
-            self._configure(record)
+            self._apply_configuration(record)
         elif record.key.startswith(documents.ROLLOUT_KEY_PREFIX):
-            self._order(record)
+            self._apply_rollout_order(record)
 
-    def _configure(self, record: KeyedRecord) -> None:
+    def _apply_configuration(self, record: KeyedRecord) -> None:
         match documents.decode_configuration(record.value):
             case Ok(routing):
                 self._orders.apply_configuration(routing)
             case Err(reason):
                 self._orders.report_unreadable(record.key, reason)
 
-    def _order(self, record: KeyedRecord) -> None:
+    def _apply_rollout_order(self, record: KeyedRecord) -> None:
         if not record.value:
             self._orders.withdraw_rollout(record.key.removeprefix(documents.ROLLOUT_KEY_PREFIX))
             return
--- a/src/bulrushflow/platform/command.py
+++ b/src/bulrushflow/platform/command.py
@@ -21,7 +21,7 @@
 GC_THRESHOLD = 20_000
 """Objects made and kept between two collections of the youngest generation."""
 GC_GENERATIONS = 10
-SETTINGS_CHECK_S = 2.0
+SETTINGS_POLL_S = 2.0
 """Time between two looks at the settings file."""
 
 
@@ -40,11 +40,11 @@
     sidecar = Sidecar(settings, PlatformStore(settings.store), PlatformAdapter())
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, sidecar)
     await sidecar.start()
-    sidecar.timers.subscribe("settings", SETTINGS_CHECK_S, SettingsWatch(sidecar).check)
+    sidecar.timers.subscribe("settings", SETTINGS_POLL_S, SettingsWatcher(sidecar).check)
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD, GC_GENERATIONS, GC_GENERATIONS)
@@ -52,27 +52,27 @@
     await sidecar.stop()
 
 
-class SettingsWatch:
+class SettingsWatcher:
     """Notices settings that changed without a signal."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self._sidecar = sidecar
-        self._seen = self._stamp()
+        self._last_stamp = self._file_stamp()
 
     async def check(self) -> None:
         """Reload when the file is another one than before."""
-        stamp = self._stamp()
-        if stamp != self._seen:
-            self._seen = stamp
+        stamp = self._file_stamp()
+        if stamp != self._last_stamp:
+            self._last_stamp = stamp
             _reload(self._sidecar)
 
-    def _stamp(self) -> tuple[int, int] | None:
+    def _file_stamp(self) -> tuple[int, int] | None:
         try:
-            found = settings_path().stat()
+            stat = settings_path().stat()
         except OSError:
             # Missing for a moment while it is replaced; the next check sees it.
             return None
-        return found.st_mtime_ns, found.st_size
+        return stat.st_mtime_ns, stat.st_size
 
 
 def _reload(sidecar: Sidecar) -> None:
--- a/src/bulrushflow/platform/documents.py
+++ b/src/bulrushflow/platform/documents.py
@@ -23,17 +23,17 @@
 CONFIGURATION_KEY = "config"
 ROLLOUT_KEY_PREFIX = "rollout/"
 """Of the orders' keys, and of the statuses' in their own topic."""
-KINDS = {"safe": True, "unsafe": False, "keyed": False}
+IDEMPOTENT_BY_KIND = {"safe": True, "unsafe": False, "keyed": False}
 """Whether calls of a kind of route may run more than once."""
-PHASES = {
+STATE_BY_PHASE = {
     RolloutPhase.RUNNING: "running",
     RolloutPhase.COMPLETED: "completed",
     RolloutPhase.ROLLED_BACK: "rolled_back",
 }
-STATES = {"ready": TargetState.READY, "draining": TargetState.DRAINING}
+TARGET_STATE_BY_NAME = {"ready": TargetState.READY, "draining": TargetState.DRAINING}
 
 
-class _Part(msgspec.Struct):
+class _SplitPart(msgspec.Struct):
     service: str
     weight: float
 
@@ -42,7 +42,7 @@
     timeout: str
     maxAttempts: int  # noqa: N815  targets that one call may be sent to
     service: str | None = None
-    trafficSplit: list[_Part] = []  # noqa: N815  instead of one service
+    trafficSplit: list[_SplitPart] = []  # noqa: N815  instead of one service
 
 
 class _Match(msgspec.Struct):
@@ -109,7 +109,7 @@
     """Decode the operator's newest configuration; all of it or nothing."""
     try:
         document = msgspec.json.decode(data, type=_Configuration)
-        return _routing(document)
+        return _convert_configuration(document)
     except (msgspec.MsgspecError, ValueError) as exc:
         return Err(f"configuration: {exc}")
 
@@ -132,7 +132,7 @@
         {
             "service": status.service,
             "targetVersion": status.to_version,
-            "state": PHASES[status.phase],
+            "state": STATE_BY_PHASE[status.phase],
             "move": status,
         }
     )
@@ -149,30 +149,35 @@
 def decode_announcement(target_id: str, data: bytes) -> Result[tuple[TargetEntry, str], str]:
     """Decode what a target says of itself, with its address."""
     try:
-        said = msgspec.json.decode(data, type=_Announcement)
-        cold_s = parse_duration(said.coldRemaining)
+        announcement = msgspec.json.decode(data, type=_Announcement)
+        cold_s = parse_duration(announcement.coldRemaining)
     except (msgspec.MsgspecError, ValueError) as exc:
         return Err(f"announcement: {exc}")
-    state = STATES.get(said.state)
+    state = TARGET_STATE_BY_NAME.get(announcement.state)
     if state is None:
-        return Err(f"announcement: unknown state {said.state!r}")
-    if not target_id or said.slots < 1 or not said.service or not said.address:
+        return Err(f"announcement: unknown state {announcement.state!r}")
+    if (
+        not target_id
+        or announcement.slots < 1
+        or not announcement.service
+        or not announcement.address
+    ):
         return Err("announcement: an empty id, service or address, or no slots")
     warm_at_ms = int(time.time() * 1000 + cold_s * 1000) if cold_s else 0
     entry = TargetEntry(
         target_id=target_id,
-        incarnation=said.born,
-        sequence=said.seq,
-        service=said.service,
-        version=said.version,
-        slots=said.slots,
+        incarnation=announcement.born,
+        sequence=announcement.seq,
+        service=announcement.service,
+        version=announcement.version,
+        slots=announcement.slots,
         state=state,
         warm_at_ms=warm_at_ms,
     )
-    return Ok((entry, said.address))
+    return Ok((entry, announcement.address))
 
 
-def _routing(document: _Configuration) -> Result[Routing, str]:
+def _convert_configuration(document: _Configuration) -> Result[Routing, str]:
     services = {
         c.name: ServiceSettings(c.name, c.healthPath, c.maxConnections) for c in document.clusters
     }
@@ -180,7 +185,7 @@
     for listener in document.listeners:
         routes = routes_by_host.setdefault(listener.host, {})
         for rule in listener.ruleSet:
-            match _route(listener.host, rule, services):
+            match _convert_rule(listener.host, rule, services):
                 case Err(reason):
                     return Err(f"configuration {document.version}: route {rule.name}: {reason}")
                 case Ok(route):
@@ -201,16 +206,16 @@
     )
 
 
-def _route(host: str, rule: _Rule, services: t.Mapping[str, t.Any]) -> Result[Route, str]:
+def _convert_rule(host: str, rule: _Rule, services: t.Mapping[str, t.Any]) -> Result[Route, str]:
     action = rule.action
-    parts = [WeightedService(part.service, part.weight) for part in action.trafficSplit]
+    weighted = [WeightedService(part.service, part.weight) for part in action.trafficSplit]
     if action.service is not None:
-        parts = [WeightedService(action.service, 1.0)]
-    if not parts or any(part.service not in services for part in parts):
+        weighted = [WeightedService(action.service, 1.0)]
+    if not weighted or any(part.service not in services for part in weighted):
         return Err("names a service that isn't defined")
-    if sum(part.weight for part in parts) <= 0 or any(part.weight < 0 for part in parts):
+    if sum(part.weight for part in weighted) <= 0 or any(part.weight < 0 for part in weighted):
         return Err("has no weights to divide by")
-    if rule.kind not in KINDS:
+    if rule.kind not in IDEMPOTENT_BY_KIND:
         return Err(f"unknown kind {rule.kind!r}")
     prefix = rule.match.pathPrefix
     if not (prefix.startswith("/") and prefix.endswith("/")) or action.maxAttempts < 1:
@@ -220,8 +225,8 @@
             name=rule.name,
             host=host,
             prefix=prefix,
-            services=tuple(parts),
-            idempotent=KINDS[rule.kind],
+            services=tuple(weighted),
+            idempotent=IDEMPOTENT_BY_KIND[rule.kind],
             timeout_s=parse_duration(action.timeout),
             latency_objective_s=parse_duration(rule.targetLatency),
             max_attempts=action.maxAttempts,
--- a/src/bulrushflow/platform/settings.py
+++ b/src/bulrushflow/platform/settings.py
@@ -17,7 +17,7 @@
 
 SETTINGS_VARIABLE = "BULRUSHFLOW_NODE_FILE"
 DEFAULT_PATH = "/etc/bulrushflow/local.toml"
-_TIME = re.compile(r"^\s*([0-9]+(?:\.[0-9]+)?)\s*(ms|s)\s*$")
+_DURATION = re.compile(r"^\s*([0-9]+(?:\.[0-9]+)?)\s*(ms|s)\s*$")
 
 
 def parse_duration(text: t.Any) -> float:
@@ -25,7 +25,7 @@
 
     :raises ValueError: when it is something else.
     """
-    found = _TIME.match(text) if isinstance(text, str) else None
+    found = _DURATION.match(text) if isinstance(text, str) else None
     if found is None:
         raise ValueError(f"{text!r} is no time such as 1500ms or 2.5s")
     return float(found[1]) / (1000 if found[2] == "ms" else 1)
@@ -80,13 +80,13 @@
     """Check the bytes of a settings file; the error names the faulty field."""
     try:
         file = msgspec.convert(tomllib.loads(data.decode()), _File, strict=True)
-        return Ok(_settings(file))
+        return Ok(_convert_settings(file))
     except (ValueError, TypeError) as exc:
         # TOML, UTF-8 and field errors are all value errors.
         return Err(f"settings: {exc}")
 
 
-def _settings(file: _File) -> SidecarSettings:
+def _convert_settings(file: _File) -> SidecarSettings:
     bounds = file.bounds
     return SidecarSettings(
         node_id=file.nodeName,
--- a/src/bulrushflow/platform/store.py
+++ b/src/bulrushflow/platform/store.py
@@ -84,7 +84,7 @@
             if status == 404:
                 return Ok(StorePage((), 0))
             if status != 200:
-                return Err(_refused(status))
+                return Err(_status_error(status))
             try:
                 page = msgspec.json.decode(body, type=_Newest)
                 for item in page.items:
@@ -120,7 +120,7 @@
                 await asyncio.sleep(wait_s)
                 return Ok(StorePage((), from_offset))
             case Ok((status, _)):
-                return Err(_refused(status))
+                return Err(_status_error(status))
 
     async def append(
         self, topic: str, writes: t.Sequence[StoreWrite], expected_end: int | None = None
@@ -136,14 +136,14 @@
         match await self._call("POST", "/-/log-append", query, CALL_TIMEOUT_S, body):
             case Err(error):
                 return Err(error)
-            case Ok((200, answer)):
+            case Ok((200, response)):
                 pass
             case Ok((412, _)):
                 return Err(StoreError(StoreErrorKind.CONFLICT, "others appended meanwhile"))
             case Ok((status, _)):
-                return Err(_refused(status))
+                return Err(_status_error(status))
         try:
-            return Ok(msgspec.json.decode(answer, type=_Appended).offset)
+            return Ok(msgspec.json.decode(response, type=_Appended).offset)
         except msgspec.MsgspecError as exc:
             return Err(StoreError(StoreErrorKind.UNKNOWN, str(exc)))
 
@@ -153,7 +153,7 @@
         session = self._session
         if session is None:
             session = self._session = aiohttp.ClientSession(
-                connector=aiohttp.TCPConnector(socket_factory=_socket, limit=0),
+                connector=aiohttp.TCPConnector(socket_factory=_create_socket, limit=0),
                 skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
                 cookie_jar=aiohttp.DummyCookieJar(),
             )
@@ -169,18 +169,18 @@
             return Err(StoreError(StoreErrorKind.UNKNOWN, f"{type(exc).__name__}: {exc}"))
 
 
-def _socket(address_info: t.Any) -> socket.socket:
+def _create_socket(address_info: t.Any) -> socket.socket:
     family, kind, protocol, _, _ = address_info
-    made = socket.socket(family, kind, protocol)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-    return made
+    sock = socket.socket(family, kind, protocol)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    return sock
 
 
-def _refused(status: int) -> StoreError:
+def _status_error(status: int) -> StoreError:
     if status in {429, 503}:
         return StoreError(StoreErrorKind.REFUSED, f"status {status}")
     return StoreError(StoreErrorKind.UNKNOWN, f"status {status}")
@@ -205,12 +205,12 @@
         if len(body) < length:
             break
         start += length
-        records.append(_keyed(body, offset))
+        records.append(_decode_record(body, offset))
         offset += 1
     return Ok(StorePage(tuple(records), offset))
 
 
-def _keyed(body: bytes, offset: int) -> KeyedRecord:
+def _decode_record(body: bytes, offset: int) -> KeyedRecord:
     size = body[0] if body else 0
     key = body[1 : 1 + size].decode(errors="replace")
     return KeyedRecord(key, body[1 + size :], offset)
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -14,10 +14,10 @@
 
     def __init__(self) -> None:
         self.records_by_topic: dict[str, list[tuple[str, bytes]]] = {}
-        self.first_by_topic: dict[str, int] = {}
+        self.first_offset_by_topic: dict[str, int] = {}
         self.status = 200
-        self.loses_answers = False
-        self.page = 500
+        self.loses_responses = False
+        self.page_size = 500
         self._changed = asyncio.Event()
         self._runner: web.AppRunner | None = None
 
@@ -60,7 +60,7 @@
             size = record[0]
             self.put(topic, record[1 : 1 + size].decode(), record[1 + size :])
             start += 4 + length
-        if self.loses_answers and request.transport is not None:
+        if self.loses_responses and request.transport is not None:
             request.transport.abort()
         return web.json_response({"offset": offset, "end": len(records)})
 
@@ -69,7 +69,7 @@
             return web.Response(status=self.status)
         topic = request.query["topic"]
         start = int(request.query["from"])
-        first = self.first_by_topic.get(topic, 0)
+        first = self.first_offset_by_topic.get(topic, 0)
         if start < first:
             return web.json_response({"first": first}, status=410)
         try:
@@ -98,7 +98,7 @@
                 "value": base64.b64encode(newest[key][0]).decode(),
                 "offset": newest[key][1],
             }
-            for key in keys[: self.page]
+            for key in keys[: self.page_size]
         ]
-        more = len(keys) > self.page
+        more = len(keys) > self.page_size
         return web.json_response({"items": items, "more": more, "end": len(records)})
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -107,7 +107,9 @@
     def test_an_announcement_is_decoded(self) -> None:
         entry, address = self.decode(state="draining").unwrap()
         self.assertEqual(address, "10.1.0.8:8301")
-        self.assertEqual((entry.revision, entry.state), ((1_700_000_000_000, 3), TargetState.DRAINING))
+        self.assertEqual(
+            (entry.revision, entry.state), ((1_700_000_000_000, 3), TargetState.DRAINING)
+        )
 
     def test_a_faulty_announcement_names_no_target(self) -> None:
         for changes in (
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -30,7 +30,7 @@
         self.assertEqual(len((await reading).unwrap().records), 1)
 
     async def test_all_pages_of_the_newest_are_read_and_dropped_keys_left_out(self) -> None:
-        self.stand_in.page = 2
+        self.stand_in.page_size = 2
         for key in ("a", "b", "c", "d", "e"):
             self.stand_in.put("t", key, key.encode())
         self.stand_in.put("t", "b", b"")
@@ -63,14 +63,14 @@
             self.assertIs((await self.store.newest("t")).unwrap_err().kind, kind)
 
     async def test_a_lost_answer_is_uncertain_and_nothing_is_sent_again(self) -> None:
-        self.stand_in.loses_answers = True
+        self.stand_in.loses_responses = True
         error = (await self.store.append("t", [StoreWrite("a", b"1")])).unwrap_err()
         self.assertIs(error.kind, StoreErrorKind.UNKNOWN)
         self.assertEqual(len(self.stand_in.records_by_topic["t"]), 1)
 
     async def test_trimmed_offsets_are_told(self) -> None:
         self.stand_in.put("t", "a", b"1")
-        self.stand_in.first_by_topic["t"] = 1
+        self.stand_in.first_offset_by_topic["t"] = 1
         error = (await self.store.read("t", 0, 0.0)).unwrap_err()
         self.assertIs(error.kind, StoreErrorKind.TRIMMED)
 
