--- a/src/bulrushflow/sidecar/__init__.py
+++ b/src/bulrushflow/sidecar/__init__.py
@@ -1,4 +1,4 @@
-"""The node on a platform whose store lasts: it keeps caches, and the store keeps the state."""
+"""The node for platforms with a durable store, which owns the state; the node only caches it."""
 
 from bulrushflow.sidecar.application import Sidecar
 from bulrushflow.sidecar.settings import SidecarSettings
--- a/src/bulrushflow/sidecar/adapter.py
+++ b/src/bulrushflow/sidecar/adapter.py
@@ -1,4 +1,4 @@
-"""What the sidecar needs of a platform's adapter, and what it offers to it."""
+"""Interfaces between the sidecar and a platform's adapter."""
 
 import typing as t
 from dataclasses import dataclass
@@ -19,18 +19,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Topics:
-    """Where the store keeps what."""
+    """Names of the store's topics."""
 
     orders: str
-    """The operator's configuration and orders; read only."""
+    """The operator's configuration and rollout orders; read only."""
     statuses: str
-    """What became of the operator's orders."""
+    """Statuses of the ordered rollouts."""
     nodes: str
-    """The nodes' own entries."""
+    """One entry for each node, written by the node itself."""
 
 
 class Adapter(t.Protocol):
-    """What differs between platforms."""
+    """The names and encodings that differ between platforms."""
 
     header_names: HeaderNames
     topics: Topics
@@ -39,29 +39,29 @@
     def decode_announcement(
         self, target_id: str, data: bytes
     ) -> Result[tuple[TargetEntry, Endpoint], str]:
-        """Decode a target's word on itself."""
+        """Decode a target's announcement into its entry and its endpoint."""
 
     def encode_status(self, status: RolloutStatus) -> StoreWrite:
-        """Return the store's record of a move's status."""
+        """Encode a rollout's status as a record to append."""
 
     def decode_status(self, record: KeyedRecord) -> Result[RolloutStatus, str]:
-        """Decode the store's record of a move's status."""
+        """Decode a record of a rollout's status."""
 
     def operator_record_handler(self, orders: "OrderSink") -> RecordHandler:
-        """Return what decodes the operator's records."""
+        """Return a handler that decodes the operator's records and passes them to ``orders``."""
 
 
 class OrderSink(t.Protocol):
-    """What the operator's decoded records are handed to."""
+    """Receives the operator's decoded records."""
 
     def apply_configuration(self, routing: Routing) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
 
     def order_rollout(self, order: RolloutOrder) -> None:
-        """Take in an order."""
+        """Apply the order of a rollout."""
 
     def withdraw_rollout(self, service: str) -> None:
-        """Take in that an order is gone."""
+        """Remove a service's rollout, whose order was deleted."""
 
     def report_unreadable(self, key: str, reason: str) -> None:
-        """Tell of a record that can't be read."""
+        """Report a record that can't be decoded, with the reason."""
--- a/src/bulrushflow/sidecar/application.py
+++ b/src/bulrushflow/sidecar/application.py
@@ -1,4 +1,4 @@
-"""The sidecar: one object that owns every part, and their start and stop."""
+"""The sidecar process: wires its components together, and starts and stops them in order."""
 
 import asyncio
 import random
@@ -47,16 +47,19 @@
 MAX_ROUTE_LABELS = 64
 RETRY_BUDGET_UPDATE_S = 0.5
 READINESS_PROPAGATION_S = 2.8
-"""Callers notice within so long that a stopping node is not ready; calls go on until then."""
+"""Time within which callers see that a stopping node isn't ready; until then it serves calls."""
 SHUTDOWN_MARGIN_S = 0.6
-"""Time kept before the kill for closing what is left."""
+"""Time reserved before the kill for closing connections."""
 CONNECTION_CLOSE_TIMEOUT_S = 0.1
-"""Time that a listener's connections get to write what is left."""
+"""Time that a listener's connections have to send pending data."""
 DRAIN_POLL_S = 0.05
 
 
 class Sidecar(Service):
-    """One sidecar: construct with checked settings, start, stop."""
+    """One sidecar process, constructed from checked settings.
+
+    Also the :class:`OrderSink` of the operator's decoded records.
+    """
 
     def __init__(self, settings: SidecarSettings, store: Store, adapter: Adapter) -> None:
         super().__init__()
@@ -179,7 +182,11 @@
         logger.bind(node=self.settings.node_id, service=self.settings.own_service).info("started")
 
     async def on_stop(self) -> None:
-        """Serve until callers know that this node stops, finish what is in flight, then close."""
+        """Shut down gracefully.
+
+        Serves calls until callers see that this node isn't ready, then drains the calls in flight
+        and closes everything, within the grace period less :data:`SHUTDOWN_MARGIN_S`.
+        """
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         deadline = started_at + self.settings.bounds.grace_s - SHUTDOWN_MARGIN_S
@@ -187,14 +194,19 @@
         self._callers.stopping = True
         logger.bind(in_flight=self._callers.in_flight).info("stopping")
         await asyncio.sleep(READINESS_PROPAGATION_S)
-        # Callers that have too few other nodes go on; they are sent away while there is time.
+        # Callers with too few other nodes keep sending; reject them while there is time left.
         self._callers.closed = True
-        # The others are told as late as possible: until then the target is served.
+        # Other nodes are notified as late as possible, since until then they use the target.
         if not await self._links.drain(deadline - loop.time()):
-            logger.warning("calls of other nodes were still in flight")
+            logger.warning("calls of other nodes were still in flight when the drain period ended")
         while self._callers.in_flight or self._admission.in_flight:
             if loop.time() >= deadline:
-                logger.warning("calls were still in flight")
+                logger.warning(
+                    "calls were still in flight when the drain period ended: "
+                    "{} of callers, {} at the target; closing their connections",
+                    self._callers.in_flight,
+                    self._admission.in_flight,
+                )
                 break
             await asyncio.sleep(DRAIN_POLL_S)
         for runner in reversed(self._runners):
@@ -214,11 +226,11 @@
         logger.bind(seconds=round(loop.time() - started_at, 2)).info("stopped")
 
     def is_ready(self) -> bool:
-        """Tell whether callers should use this node."""
+        """Return whether callers should use this node."""
         return not self._stopping and bool(self.routing.version) and self._node_replica.loaded
 
     def reload(self, settings: SidecarSettings) -> None:
-        """Put other settings in force; addresses that are listened on stay until a restart."""
+        """Apply changed settings; listening addresses change only on a restart."""
         before = self.settings
         if settings == before:
             return
@@ -232,7 +244,7 @@
         logger.bind(changed=changed, service=settings.own_service).info("settings reloaded")
 
     def apply_configuration(self, routing: Routing) -> None:
-        """See :meth:`OrderSink.apply_configuration`; an older configuration is never taken."""
+        """See :meth:`OrderSink.apply_configuration`; ignores a version that isn't newer."""
         if routing.version <= self.routing.version:
             return
         self._decisions.event(
@@ -269,7 +281,11 @@
         self._registration.publish(own)
 
     def _on_own_entry(self, entry: NodeEntry | None) -> None:
-        """Take up the target that the store has for this address, before it announces itself."""
+        """Reconcile the registration with the stored entry of this address.
+
+        On the initial load, the target in that entry is restored unless one announced itself
+        already.
+        """
         initial_load = not self._node_replica.loaded
         self._registration.reconcile(entry)
         settings = self.settings
--- a/src/bulrushflow/sidecar/decisions.py
+++ b/src/bulrushflow/sidecar/decisions.py
@@ -1,4 +1,4 @@
-"""The account of decisions: one structured log line each, bounded under load."""
+"""The decision log: one structured log line for each decision, rate-limited under load."""
 
 import asyncio
 import typing as t
@@ -9,14 +9,15 @@
 from bulrushflow.routing import Response
 
 LINES_PER_S = 5.0
-"""Lines of one kind a second; what is beyond is counted and told with the next line."""
+"""Rate limit for lines of one event. Lines above it are dropped, and the next line has their count
+in ``left_out``."""
 BURST_LINES = 20.0
 SUCCESS_SAMPLE_INTERVAL = 100
-"""One answered call in so many is told; failures are told up to the bucket."""
+"""One in so many successful calls is logged; failures are subject to the rate limit only."""
 
 
 class _TokenBucket:
-    """A token bucket for one kind of line."""
+    """Rate limiter for the lines of one event; counts the lines suppressed since the last one."""
 
     __slots__ = ("suppressed", "tokens", "updated_at")
 
@@ -36,7 +37,7 @@
 
 
 class DecisionLog:
-    """Writes what touches a call or changes what this process believes."""
+    """Logs decisions on calls, and changes of the state that this process has recorded."""
 
     __slots__ = ("_answered", "_buckets_by_event")
 
@@ -45,25 +46,25 @@
         self._answered = 0
 
     def event(self, event: str, **inputs: t.Any) -> None:
-        """Tell that this process believes something else now, and why."""
+        """Log a state change or a failure that concerns no single call, with its inputs."""
         self._write(event, inputs)
 
     def refused(self, call: Call, reason: str, **inputs: t.Any) -> None:
-        """Tell that a call was refused before it was sent to the target."""
+        """Log that a call was rejected before it was sent to the target."""
         self._call(
             "call refused", call, outcome="not run", reason=reason, attempt=call.attempt, **inputs
         )
 
     def attempt_failed(self, call: Call, outcome: str, **inputs: t.Any) -> None:
-        """Tell that one attempt at a target failed; the call may go on."""
+        """Log a failed attempt; the call itself may still succeed by a retry."""
         self._call("attempt failed", call, outcome=outcome, attempt=call.attempt, **inputs)
 
     def failed(self, call: Call, outcome: str, **inputs: t.Any) -> None:
-        """Tell that a call failed."""
+        """Log that a call failed."""
         self._call("call failed", call, outcome=outcome, **inputs)
 
     def answered(self, call: Call, response: Response, late: bool, **inputs: t.Any) -> None:
-        """Tell of an answered call; those in time and without an error are mostly left out."""
+        """Log a response; successful ones in time are sampled."""
         if late:
             self._call("call answered late", call, status=response.status, **inputs)
             return
--- a/src/bulrushflow/sidecar/directory.py
+++ b/src/bulrushflow/sidecar/directory.py
@@ -1,4 +1,4 @@
-"""The targets that this node knows of, and what its own calls to them showed."""
+"""Service discovery: the known nodes and targets, with the statistics of calls to them."""
 
 import typing as t
 from dataclasses import dataclass
@@ -7,21 +7,21 @@
 from bulrushflow.sidecar.model import TargetState
 
 LATENCY_SMOOTHING = 0.1
-"""Weight of the newest answer in the smoothed latency."""
+"""Weight of the latest response in the moving average of the latency."""
 FAILURE_SMOOTHING = 0.15
-"""Weight of the newest outcome in the smoothed share of failures."""
+"""Weight of the latest outcome in the moving average of the failure rate."""
 LOAD_HALF_LIFE_S = 0.5
-"""Time in which a reported load loses half of its weight."""
+"""Half-life of the weight of a reported load."""
 MAX_BACKOFF_S = 2.0
 FIRST_BACKOFF_S = 0.1
 EJECTION_FAILURE_RATE = 0.4
-"""Smoothed share of failures from which a target gets no calls for a while."""
+"""Average failure rate from which a target is ejected for :data:`EJECTION_S` seconds."""
 EJECTION_S = 2.0
 
 
 @dataclass(slots=True)
 class Peer:
-    """One node with its target, as seen from here."""
+    """One node with its target, and the statistics of this node's calls to it."""
 
     entry: NodeEntry
     in_flight: int = 0
@@ -32,23 +32,26 @@
     unavailable_until: float = 0.0
     ejected_until: float = 0.0
     unreachable: bool = False
-    """Whether the node can't be reached."""
+    """Whether connections to the node fail."""
     backoff_s: float = FIRST_BACKOFF_S
 
     def load(self, now: float) -> float:
-        """Return calls per slot: this node's own, or what the peer reported not long ago."""
+        """Return the load in calls per slot.
+
+        The greater of this node's own calls in flight and the reported load, discounted by its age.
+        """
         target = self.entry.target
         own = self.in_flight / target.slots if target is not None else 1.0
         age_s = now - self.reported_at
         return max(own, self.reported_load * 0.5 ** (age_s / LOAD_HALF_LIFE_S))
 
     def record_load(self, load: float, now: float) -> None:
-        """Take in the load that the peer told with an answer."""
+        """Record the load, in calls per slot, that the peer reported with a response."""
         self.reported_load = load
         self.reported_at = now
 
     def record_response(self, seconds: float, failed: bool, now: float) -> None:
-        """Take in an answer of the target."""
+        """Update latency and failure rate with a response; eject a target that fails too often."""
         self.backoff_s = FIRST_BACKOFF_S
         self.failure_rate += (failed - self.failure_rate) * FAILURE_SMOOTHING
         if not failed:
@@ -59,16 +62,16 @@
             self.failure_rate = EJECTION_FAILURE_RATE / 2
 
     def mark_unavailable(self, now: float) -> None:
-        """Take in that the node has no target that takes calls now."""
+        """Back off from the node, whose target accepts no calls now."""
         if now < self.unavailable_until:
-            # One of several calls that found it out together.
+            # Several concurrent calls failed alike; they count as one.
             return
         self.unavailable_until = now + self.backoff_s
         self.backoff_s = min(MAX_BACKOFF_S, self.backoff_s * 2)
 
 
 class Directory:
-    """Nodes by key, and the peers whose target is ready by service."""
+    """Nodes by key, and peers with a ready target by service."""
 
     __slots__ = ("_ready_by_service", "peers_by_key")
 
@@ -77,7 +80,7 @@
         self._ready_by_service: dict[str, list[Peer]] = {}
 
     def update(self, key: str, entry: NodeEntry) -> None:
-        """Take in a node's newest entry. A new target starts without a record."""
+        """Add or update a node. The statistics are kept as long as the target is the same."""
         current = self.peers_by_key.get(key)
         if current is not None:
             self._remove_from_ready(current)
@@ -91,28 +94,28 @@
             self._ready_by_service.setdefault(target.service, []).append(current)
 
     def is_current(self, peer: Peer) -> bool:
-        """Tell whether a peer is still the one of its address."""
+        """Return whether a peer is still listed, and not replaced by another target."""
         return any(known is peer for known in self.peers_by_key.values())
 
     def remove(self, key: str) -> None:
-        """Forget a node."""
+        """Remove a node, if it is known."""
         peer = self.peers_by_key.pop(key, None)
         if peer is not None:
             self._remove_from_ready(peer)
 
     def retain(self, keys: t.Collection[str]) -> None:
-        """Forget every other node."""
+        """Remove the nodes whose key isn't among ``keys``."""
         for key in [key for key in self.peers_by_key if key not in keys]:
             self.remove(key)
 
     def ready_peers(self, service: str) -> t.Sequence[Peer]:
-        """Return the peers whose target takes calls of a service."""
+        """Return the peers with a ready target of a service."""
         return self._ready_by_service.get(service, ())
 
     def _remove_from_ready(self, peer: Peer) -> None:
         target = peer.entry.target
         listed = self._ready_by_service.get(target.service, []) if target is not None else []
-        # By identity: two peers may be equal in all that is known of them.
+        # Compared by identity, since two peers may have equal fields.
         for i, other in enumerate(listed):
             if other is peer:
                 del listed[i]
--- a/src/bulrushflow/sidecar/endpoints.py
+++ b/src/bulrushflow/sidecar/endpoints.py
@@ -1,4 +1,4 @@
-"""The HTTP listeners for the target's announcements, readiness checks and metrics."""
+"""HTTP applications for the target's registration, readiness checks and metrics."""
 
 import typing as t
 
@@ -16,13 +16,14 @@
 from bulrushflow.sidecar.settings import Endpoint
 
 ACKNOWLEDGE_TIMEOUT_S = 0.6
-"""Longest wait for the store before a leave is acknowledged; the target waits for a second."""
+"""Maximum time to wait for the store before deregistration or draining is acknowledged. The target
+waits one second for the acknowledgement."""
 
 AnnouncementDecoder = t.Callable[[str, bytes], Result[tuple[TargetEntry, Endpoint], str]]
 
 
 class AnnouncementPaths(t.NamedTuple):
-    """Paths that the platform uses."""
+    """Paths of the platform's HTTP endpoints."""
 
     targets: str
     """With the placeholder ``{target_id}``."""
@@ -36,9 +37,10 @@
     registration: Registration,
     decisions: DecisionLog,
 ) -> web.Application:
-    """Return the application that takes the target's announcements.
+    """Return the application that registers and deregisters the target.
 
-    That a target leaves is in force here before the answer, and in the store if that answers soon.
+    When a target drains or deregisters, this node sends it no new calls from then on. The response
+    waits up to :data:`ACKNOWLEDGE_TIMEOUT_S` until the store has the change too.
     """
 
     async def announce(request: web.Request) -> web.Response:
@@ -79,7 +81,7 @@
 
 
 def readiness_application(path: str, is_ready: t.Callable[[], bool]) -> web.Application:
-    """Return the application that tells whether this node takes calls."""
+    """Return the readiness check: status 200 while this node accepts calls, else 503."""
 
     async def ready(_: web.Request) -> web.Response:
         return web.Response(status=200 if is_ready() else 503)
--- a/src/bulrushflow/sidecar/record_handlers.py
+++ b/src/bulrushflow/sidecar/record_handlers.py
@@ -1,4 +1,4 @@
-"""What takes in the records of the store: the nodes' entries, and the moves' status."""
+"""Handlers for the store's records: node entries and rollout statuses."""
 
 import typing as t
 
@@ -16,9 +16,9 @@
 
 
 class NodeEntryHandler:
-    """Keeps the directory as the store has it.
+    """Applies node entries to the directory.
 
-    :param on_own: told of this node's own entry as the store has it, ``None`` without one.
+    :param on_own: called with this node's own stored entry, or ``None`` if the store has none.
     """
 
     def __init__(
@@ -76,9 +76,10 @@
 
 
 class RolloutStatusHandler:
-    """Hands each move's status in the store to the moves.
+    """Decodes rollout statuses and passes them on.
 
-    :param decode: decodes a record; the keys are the platform's.
+    :param decode: decodes a record, whose key format depends on the platform.
+    :param on_status: called with each decoded status.
     """
 
     def __init__(
--- a/src/bulrushflow/sidecar/records.py
+++ b/src/bulrushflow/sidecar/records.py
@@ -1,4 +1,4 @@
-"""The JSON of nodes' entries and of moves' statuses, and their keys."""
+"""JSON encoding and keys of node entries and rollout statuses."""
 
 import typing as t
 
@@ -17,27 +17,27 @@
 
 
 def node_key(address: str) -> str:
-    """Return the key of a node's entry; a node at a used address replaces the one before."""
+    """Return the key of a node's entry; a new node at the same address replaces the entry."""
     return NODE_KEY_PREFIX + address
 
 
 def encode_node_entry(entry: NodeEntry) -> bytes:
-    """Encode a node's entry."""
+    """Encode a node entry as JSON."""
     return msgspec.json.encode(entry)
 
 
 def decode_node_entry(data: bytes) -> Result[NodeEntry, str]:
-    """Decode a node's entry."""
+    """Decode a node entry; the error has the reason."""
     return _decode(data, NodeEntry, "node entry")
 
 
 def encode_rollout_status(status: RolloutStatus) -> bytes:
-    """Encode a move's status."""
+    """Encode a rollout status as JSON."""
     return msgspec.json.encode(status)
 
 
 def decode_rollout_status(data: bytes) -> Result[RolloutStatus, str]:
-    """Decode a move's status."""
+    """Decode a rollout status; the error has the reason."""
     return _decode(data, RolloutStatus, "move status")
 
 
--- a/src/bulrushflow/sidecar/registration.py
+++ b/src/bulrushflow/sidecar/registration.py
@@ -1,4 +1,4 @@
-"""Keeps this node's entry in the store as it is here: written on a change, until it is there."""
+"""Registration of this node: reconciles its entry in the store with the entry to publish."""
 
 import asyncio
 import random
@@ -19,7 +19,10 @@
 
 
 class Registration(BackgroundService):
-    """Writes the newest entry; earlier ones that were not written yet are left out."""
+    """Writes this node's latest entry to the store, with retries.
+
+    Entries that a later one replaces before they are written are skipped.
+    """
 
     def __init__(
         self, store: Store, topic: str, decisions: DecisionLog, rng: random.Random
@@ -35,20 +38,20 @@
         self._in_sync = asyncio.Event()
 
     def publish(self, entry: NodeEntry) -> None:
-        """Have the store hold an entry."""
+        """Set the entry that the store should have; it is written in the background."""
         self._desired = entry
         if entry != self._stored:
             self._in_sync.clear()
             self._changed.set()
 
     def reconcile(self, entry: NodeEntry | None) -> None:
-        """Take in what the store holds; it is corrected where it differs."""
+        """Record the entry that the store has; overwrite it if it isn't the published one."""
         self._stored = entry
         if self._desired is not None:
             self.publish(self._desired)
 
     async def wait_written(self, timeout_s: float) -> bool:
-        """Wait until the store holds what is wanted; ``False`` when that takes too long."""
+        """Wait until the store has the published entry; return ``False`` on a timeout."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self._in_sync.wait()
--- a/src/bulrushflow/sidecar/replica.py
+++ b/src/bulrushflow/sidecar/replica.py
@@ -1,4 +1,4 @@
-"""Keeps what one topic of the store holds: all of it first, then each new record."""
+"""Replication of a store topic: reads its whole state, then follows new records by long polling."""
 
 import asyncio
 import random
@@ -17,30 +17,33 @@
 from bulrushflow.sidecar.storage import StorePage
 
 SHORT_POLL_S = 1.0
-"""Wait of a read for the next record, after records came; changes often come in series, and a
-read that crosses an append may not be woken by it."""
+"""Long-poll timeout of the first read after records arrived. Changes often come in series, and an
+append that overlaps with a read may not wake it."""
 LONG_POLL_S = 10.0
-"""Wait of each later read; a connection that went silent is noticed only at its end."""
+"""Long-poll timeout of later reads. A silent connection is detected only when it ends."""
 BATCH_PAUSE_S = 0.5
-"""Pause after records, so that several come with one read."""
+"""Pause after records arrived, so that the next read returns several at once."""
 LAG_TOLERANCE_S = 0.3
-"""Time that a read may lag behind what other nodes have before it is made anew."""
+"""Time that a read may lag behind another node's offset before it is restarted."""
 FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.8
 
 
 class RecordHandler(t.Protocol):
-    """What takes in a topic's records."""
+    """Applies the records of a topic."""
 
     def replace(self, records: t.Sequence[KeyedRecord]) -> None:
-        """Take in the newest record of every key; keys that are missing are gone."""
+        """Replace the state by the latest record of each key; keys without a record are deleted."""
 
     def apply(self, record: KeyedRecord) -> None:
-        """Take in one further record; an empty value drops its key."""
+        """Apply one new record; an empty value deletes its key."""
 
 
 class Replica(BackgroundService):
-    """Follows one topic."""
+    """Replicates one topic into a record handler.
+
+    While the store is unavailable the handler keeps its state, and reads are retried with backoff.
+    """
 
     def __init__(
         self,
@@ -62,12 +65,15 @@
         self._reading: asyncio.Task[t.Any] | None = None
         self._peer_offset = 0
         self.offset: int | None = None
-        """Where the next read begins; ``None`` while the whole state has to be read."""
+        """Start offset of the next read; ``None`` while the whole state has to be loaded."""
         self.loaded = False
-        """Whether the topic's whole state was read since the start."""
+        """Whether the whole state was loaded at least once since the start."""
 
     def note_peer_offset(self, offset: int) -> None:
-        """Take in that another node has read up to ``offset``."""
+        """Note that another node has read up to ``offset``.
+
+        If this replica hasn't caught up after :data:`LAG_TOLERANCE_S`, its read is restarted.
+        """
         if self.offset is None or offset <= max(self.offset, self._peer_offset):
             return
         self._peer_offset = offset
@@ -92,7 +98,7 @@
             self._backoff_s = min(MAX_BACKOFF_S, self._backoff_s * 2)
 
     async def _read_once(self) -> bool:
-        """Read once; tell whether the store answered."""
+        """Load the state or read new records once; return whether the store responded."""
         if self.offset is None:
             match await self._store.newest(self._topic):
                 case Err(error):
@@ -130,7 +136,7 @@
         return True
 
     async def _read(self, offset: int) -> Result[StorePage, StoreError] | None:
-        """Wait for records; ``None`` when the read is to be made anew."""
+        """Wait for records; return ``None`` if the read was cancelled to be restarted."""
         reading = asyncio.get_running_loop().create_task(
             self._store.read(self._topic, offset, self._poll_timeout_s)
         )
--- a/src/bulrushflow/sidecar/settings.py
+++ b/src/bulrushflow/sidecar/settings.py
@@ -1,4 +1,4 @@
-"""Checked settings of a sidecar, as its parts use them."""
+"""Checked settings of a sidecar."""
 
 from dataclasses import dataclass
 
@@ -16,19 +16,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the operators promise their users, and so what the sidecar has to keep."""
+    """Limits that the operators guarantee to their users and that the sidecar has to meet."""
 
     grace_s: float = 6.0
-    """Seconds between the request to stop and the kill."""
+    """Grace period: seconds between the stop request and the kill."""
     retry_window_s: float = 10.0
     retry_ratio: float = 0.2
-    """Repeated calls for each call of a service, over all nodes."""
+    """Retry budget: retries allowed for each call of a service, over all nodes."""
     retry_slack: float = 60.0
-    """Repeated calls of a service in one window beyond the ratio, over all nodes."""
+    """Retries of a service allowed in one window beyond the ratio, over all nodes."""
     unproved_share: float = 0.1
-    """Part of a service's calls, until a move's deadline, that a faulty version may get."""
+    """Fraction of a service's calls until a rollout's deadline that a faulty version may get."""
     unproved_slack: float = 50.0
-    """Calls beyond that share that a faulty version may get."""
+    """Calls beyond that fraction that a faulty version may get."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/bulrushflow/sidecar/storage.py
+++ b/src/bulrushflow/sidecar/storage.py
@@ -1,4 +1,4 @@
-"""What the sidecar needs of a store of keyed records that outlives every process."""
+"""Interface of the durable store of keyed records that the sidecar uses."""
 
 import enum
 import typing as t
@@ -11,14 +11,15 @@
     """How a call to the store failed."""
 
     REFUSED = "refused"
-    """Nothing was done."""
+    """The call was not executed."""
     UNKNOWN = "unknown"
-    """The call may have been executed, or may be executed later."""
+    """The call may have been executed, or may still be."""
     CONFLICT = "conflict"
-    """A conditional append found records it did not expect."""
+    """A conditional append failed, since the topic doesn't end at the expected offset."""
     TRIMMED = "trimmed"
-    """The records asked for are no longer kept one by one."""
+    """The requested offset was compacted away; only the latest record of each key is left."""
     UNREADABLE = "unreadable"
+    """The response can't be decoded."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """One record; an empty value drops the key."""
+    """A stored record; an empty value deletes the key."""
 
     key: str
     value: bytes
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreWrite:
-    """One record to append."""
+    """A record to append."""
 
     key: str
     value: bytes
@@ -48,27 +49,30 @@
 
 @dataclass(frozen=True, slots=True)
 class StorePage:
-    """Records, and the offset from which reading goes on."""
+    """Records of one response, and the offset of the next read."""
 
     records: tuple[KeyedRecord, ...]
     next_offset: int
 
 
 class Store(t.Protocol):
-    """The store, as the sidecar uses it."""
+    """Client of the store."""
 
     async def newest(self, topic: str) -> Result[StorePage, StoreError]:
-        """Return the newest record of each key."""
+        """Return the latest record of each key, and the offset at which to read on."""
 
     async def read(
         self, topic: str, from_offset: int, wait_s: float
     ) -> Result[StorePage, StoreError]:
-        """Return records from an offset on, waiting for the first."""
+        """Return records from an offset on, waiting up to ``wait_s`` seconds for the first one."""
 
     async def append(
         self, topic: str, writes: t.Sequence[StoreWrite], expected_end: int | None = None
     ) -> Result[int, StoreError]:
-        """Append records, all or none, and return the first one's offset."""
+        """Append all records atomically and return the offset of the first one.
+
+        :param expected_end: if given, append only if the topic ends at this offset.
+        """
 
     async def close(self) -> None:
         """Close the connections."""
