--- a/src/bulrushflow/platform/__init__.py
+++ b/src/bulrushflow/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The adapter to the users' platform: settings, store, documents and headers.
+"""Adapter to the operators' platform: settings, store, documents and headers.
 
-Names of the platform are decoded here, once, into the product's own types.
+All names of the platform are decoded here into the project's own types.
 """
 
 from bulrushflow.platform.settings import load_settings
--- a/src/bulrushflow/platform/adapter.py
+++ b/src/bulrushflow/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter that the sidecar is given: names, paths, topics and decoders."""
+"""Implementation of the sidecar's adapter: header names, paths, topics and codecs."""
 
 import typing as t
 
@@ -20,7 +20,10 @@
 
 
 class OperatorRecordHandler:
-    """Decodes the operator's records; one that can't be read leaves what is in force."""
+    """Decodes the operator's records and passes them on.
+
+    A record that can't be decoded is reported, and the configuration or order in force stays.
+    """
 
     def __init__(self, orders: OrderSink) -> None:
         self._orders = orders
@@ -56,7 +59,7 @@
 
 
 class PlatformAdapter:
-    """Implements the sidecar's adapter for this platform."""
+    """Implements :class:`Adapter` for this platform."""
 
     header_names = HEADER_NAMES
     topics = Topics(orders="keyed.op", statuses="keyed.status", nodes="keyed.nodes")
@@ -85,7 +88,7 @@
     def decode_status(self, record: KeyedRecord) -> Result[RolloutStatus, str]:
         """See :meth:`Adapter.decode_status`."""
         if not record.key.startswith(documents.ROLLOUT_KEY_PREFIX):
-            return Err("its key is no move's")
+            return Err(f"key doesn't begin with {documents.ROLLOUT_KEY_PREFIX}")
         return documents.decode_status(record.value)
 
     def operator_record_handler(self, orders: OrderSink) -> OperatorRecordHandler:
--- a/src/bulrushflow/platform/command.py
+++ b/src/bulrushflow/platform/command.py
@@ -1,4 +1,4 @@
-"""The program that runs the sidecar on the platform."""
+"""The program that runs a sidecar on the platform."""
 
 import asyncio
 import gc
@@ -19,14 +19,14 @@
 
 EXIT_SETTINGS = 2
 GC_THRESHOLD = 20_000
-"""Objects made and kept between two collections of the youngest generation."""
+"""Net allocations that trigger a collection of the youngest generation."""
 GC_GENERATIONS = 10
 SETTINGS_POLL_S = 2.0
-"""Time between two looks at the settings file."""
+"""Interval of the checks for a changed settings file."""
 
 
 def main() -> None:
-    """Run a sidecar until it is told to stop."""
+    """Run a sidecar until SIGTERM or SIGINT."""
     match load_settings(settings_path()):
         case Err(fault):
             print(fault, file=sys.stderr)
@@ -53,14 +53,14 @@
 
 
 class SettingsWatcher:
-    """Notices settings that changed without a signal."""
+    """Reloads settings that changed without a SIGHUP."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self._sidecar = sidecar
         self._last_stamp = self._file_stamp()
 
     async def check(self) -> None:
-        """Reload when the file is another one than before."""
+        """Reload the settings if the file's size or modification time changed."""
         stamp = self._file_stamp()
         if stamp != self._last_stamp:
             self._last_stamp = stamp
@@ -70,7 +70,7 @@
         try:
             stat = settings_path().stat()
         except OSError:
-            # Missing for a moment while it is replaced; the next check sees it.
+            # The file may be missing while it is replaced; the next check finds it.
             return None
         return stat.st_mtime_ns, stat.st_size
 
--- a/src/bulrushflow/platform/documents.py
+++ b/src/bulrushflow/platform/documents.py
@@ -1,4 +1,4 @@
-"""Documents of the operator and announcements of targets, decoded into the product's types."""
+"""Decoding of the operator's documents and the targets' announcements into the project's types."""
 
 import time
 import typing as t
@@ -22,9 +22,9 @@
 
 CONFIGURATION_KEY = "config"
 ROLLOUT_KEY_PREFIX = "rollout/"
-"""Of the orders' keys, and of the statuses' in their own topic."""
+"""Prefix of the keys of orders, and of statuses in their own topic."""
 IDEMPOTENT_BY_KIND = {"safe": True, "unsafe": False, "keyed": False}
-"""Whether calls of a kind of route may run more than once."""
+"""Whether calls of a kind of route may be retried after they may have run."""
 STATE_BY_PHASE = {
     RolloutPhase.RUNNING: "running",
     RolloutPhase.COMPLETED: "completed",
@@ -40,9 +40,9 @@
 
 class _Action(msgspec.Struct):
     timeout: str
-    maxAttempts: int  # noqa: N815  targets that one call may be sent to
+    maxAttempts: int  # noqa: N815  targets that a call may be sent to
     service: str | None = None
-    trafficSplit: list[_SplitPart] = []  # noqa: N815  instead of one service
+    trafficSplit: list[_SplitPart] = []  # noqa: N815  instead of ``service``
 
 
 class _Match(msgspec.Struct):
@@ -54,7 +54,7 @@
     kind: str
     match: _Match
     action: _Action
-    targetLatency: str = "1s"  # noqa: N815  answers beyond it lose worth
+    targetLatency: str = "1s"  # noqa: N815  later responses count as late
     priority: int = 0
 
 
@@ -66,7 +66,7 @@
 class _Cluster(msgspec.Struct):
     name: str
     healthPath: str = "/health"  # noqa: N815
-    maxConnections: int = 100  # noqa: N815  of one target, from all its clients
+    maxConnections: int = 100  # noqa: N815  to one target, from all nodes
 
 
 class _Limits(msgspec.Struct):
@@ -97,16 +97,16 @@
     service: str
     address: str
     zone: str
-    version: str  # release of the target's software
+    version: str  # version of the service that the target runs
     slots: int
     state: str
     seq: int
-    born: int  # epoch milliseconds of the target's start
-    coldRemaining: str = "0ms"  # noqa: N815  time until the target is at its usual speed
+    born: int  # start of the target, in epoch milliseconds
+    coldRemaining: str = "0ms"  # noqa: N815  time until the target is warm
 
 
 def decode_configuration(data: bytes) -> Result[Routing, str]:
-    """Decode the operator's newest configuration; all of it or nothing."""
+    """Decode the operator's configuration; one invalid part rejects all of it."""
     try:
         document = msgspec.json.decode(data, type=_Configuration)
         return _convert_configuration(document)
@@ -115,7 +115,10 @@
 
 
 def decode_rollout_order(key: str, data: bytes, offset: int) -> Result[RolloutOrder, str]:
-    """Decode the operator's order to move a service to a version."""
+    """Decode the operator's order to roll out a version of a service.
+
+    :param offset: offset of the record; becomes the order's id.
+    """
     try:
         document = msgspec.json.decode(data, type=_Rollout)
         duration_s = parse_duration(document.duration)
@@ -127,7 +130,7 @@
 
 
 def encode_status(status: RolloutStatus) -> bytes:
-    """Encode a move's status: the fields that operators read, and the product's own beside them."""
+    """Encode a rollout status: the operators' fields, and the whole status under ``move``."""
     return msgspec.json.encode(
         {
             "service": status.service,
@@ -139,7 +142,7 @@
 
 
 def decode_status(data: bytes) -> Result[RolloutStatus, str]:
-    """Decode the product's own fields of a move's status."""
+    """Decode the whole status, under ``move``, of an encoded rollout status."""
     try:
         return Ok(msgspec.json.decode(data, type=_Status).move)
     except msgspec.MsgspecError as exc:
@@ -147,7 +150,7 @@
 
 
 def decode_announcement(target_id: str, data: bytes) -> Result[tuple[TargetEntry, str], str]:
-    """Decode what a target says of itself, with its address."""
+    """Decode a target's announcement into its entry and its address."""
     try:
         announcement = msgspec.json.decode(data, type=_Announcement)
         cold_s = parse_duration(announcement.coldRemaining)
@@ -162,7 +165,10 @@
         or not announcement.service
         or not announcement.address
     ):
-        return Err("announcement: an empty id, service or address, or no slots")
+        return Err(
+            "announcement: id, service and address must not be empty and slots must be at least 1, "
+            f"got slots {announcement.slots}"
+        )
     warm_at_ms = int(time.time() * 1000 + cold_s * 1000) if cold_s else 0
     entry = TargetEntry(
         target_id=target_id,
@@ -212,14 +218,17 @@
     if action.service is not None:
         weighted = [WeightedService(action.service, 1.0)]
     if not weighted or any(part.service not in services for part in weighted):
-        return Err("names a service that isn't defined")
+        return Err("names no service, or one that isn't defined")
     if sum(part.weight for part in weighted) <= 0 or any(part.weight < 0 for part in weighted):
-        return Err("has no weights to divide by")
+        return Err("weights must not be negative and their sum must be positive")
     if rule.kind not in IDEMPOTENT_BY_KIND:
         return Err(f"unknown kind {rule.kind!r}")
     prefix = rule.match.pathPrefix
     if not (prefix.startswith("/") and prefix.endswith("/")) or action.maxAttempts < 1:
-        return Err("a prefix without slashes at both ends, or no attempts")
+        return Err(
+            f"prefix {prefix!r} must begin and end with a slash, and maxAttempts "
+            f"{action.maxAttempts} must be at least 1"
+        )
     return Ok(
         Route(
             name=rule.name,
--- a/src/bulrushflow/platform/headers.py
+++ b/src/bulrushflow/platform/headers.py
@@ -1,10 +1,10 @@
-"""Names of the platform's HTTP headers, given to the parts that read and write them."""
+"""Names of the platform's HTTP headers."""
 
 from bulrushflow.sidecar.headers import HeaderNames
 
 HEADER_NAMES = HeaderNames(
     request_id="X-Bulrushflow-Attempt-Id",
-    timeout_ms="X-Bulrushflow-Deadline-Ms",  # time left, not a point in time
+    timeout_ms="X-Bulrushflow-Deadline-Ms",  # remaining time, not a point in time
     signature="X-Bulrushflow-Response-Signature",
     expected_target="X-Bulrushflow-Expect-Instance",
     not_run="X-Bulrushflow-Not-Executed",
--- a/src/bulrushflow/platform/settings.py
+++ b/src/bulrushflow/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file of a process, decoded into the sidecar's settings."""
+"""Decoding of the platform's settings file into the sidecar's settings."""
 
 import os
 import pathlib
@@ -21,55 +21,58 @@
 
 
 def parse_duration(text: t.Any) -> float:
-    """Decode a time such as ``1500ms`` or ``2.5s`` to seconds.
+    """Parse a duration such as ``1500ms`` or ``2.5s`` and return it in seconds.
 
-    :raises ValueError: when it is something else.
+    :raises ValueError: if the text is no such duration.
     """
     found = _DURATION.match(text) if isinstance(text, str) else None
     if found is None:
-        raise ValueError(f"{text!r} is no time such as 1500ms or 2.5s")
+        raise ValueError(f"{text!r} is no duration such as 1500ms or 2.5s")
     return float(found[1]) / (1000 if found[2] == "ms" else 1)
 
 
 class _Listen(msgspec.Struct):
-    outbound: str  # where callers on this instance send their calls
-    ready: str  # where the platform asks whether this node takes calls
-    control: str  # where the target beside this node announces itself
-    inbound: str = ""  # offered for traffic between nodes; the peer port is used instead
+    outbound: str  # listener for the callers on this instance
+    ready: str  # listener for the platform's readiness checks
+    control: str  # listener for the announcements of this node's target
+    inbound: str = ""  # unused: traffic between nodes uses the peer port
 
 
 class _Bounds(msgspec.Struct):
-    grace: str = "6s"  # between SIGTERM and SIGKILL
-    budgetWindow: str = "10s"  # noqa: N815  over which repeated calls are counted
+    grace: str = "6s"  # time between SIGTERM and SIGKILL
+    budgetWindow: str = "10s"  # noqa: N815  window in which retries are counted
     retryBudgetRatio: float = 0.2  # noqa: N815
     retryBudgetSlack: float = 60.0  # noqa: N815
-    canaryShare: float = 0.1  # noqa: N815  calls of a faulty version, as part of its service's
+    canaryShare: float = 0.1  # noqa: N815  fraction of a service's calls
     canarySlack: float = 50.0  # noqa: N815
 
 
 class _Platform(msgspec.Struct):
-    address: str  # the store
+    address: str  # of the store
 
 
 class _File(msgspec.Struct):
     nodeName: str  # noqa: N815
     ip: str
-    zone: str  # the brief's data centre
-    internalPortRange: tuple[int, int]  # noqa: N815  free for traffic between nodes
+    zone: str  # data centre
+    internalPortRange: tuple[int, int]  # noqa: N815  first and last port free for the node
     listen: _Listen
     platform: _Platform
-    appAddr: str = ""  # noqa: N815  the target beside this node
-    service: str = ""  # the service of that target
+    appAddr: str = ""  # noqa: N815  address of this node's target
+    service: str = ""  # service of that target
     bounds: _Bounds = msgspec.field(default_factory=_Bounds)
 
 
 def settings_path() -> pathlib.Path:
-    """Return where the platform put the settings file."""
+    """Return the path of the settings file."""
     return pathlib.Path(os.environ.get(SETTINGS_VARIABLE, DEFAULT_PATH))
 
 
 def load_settings(path: pathlib.Path) -> Result[SidecarSettings, str]:
-    """Read and check a settings file; unknown fields are ignored."""
+    """Read and check a settings file; unknown fields are ignored.
+
+    The error names the file or the invalid field.
+    """
     try:
         return decode_settings(path.read_bytes())
     except OSError as exc:
@@ -77,12 +80,12 @@
 
 
 def decode_settings(data: bytes) -> Result[SidecarSettings, str]:
-    """Check the bytes of a settings file; the error names the faulty field."""
+    """Decode and check a settings file; the error names the invalid field."""
     try:
         file = msgspec.convert(tomllib.loads(data.decode()), _File, strict=True)
         return Ok(_convert_settings(file))
     except (ValueError, TypeError) as exc:
-        # TOML, UTF-8 and field errors are all value errors.
+        # Errors of the TOML syntax, of UTF-8 and of fields are all subclasses of ValueError.
         return Err(f"settings: {exc}")
 
 
@@ -112,9 +115,9 @@
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Decode an address such as ``10.1.0.5:8309``.
+    """Parse an address such as ``10.1.0.5:8309``.
 
-    :raises ValueError: when it is something else.
+    :raises ValueError: if the text is no ``IP:PORT``.
     """
     address, _, port = text.rpartition(":")
     if not address or not port.isdigit():
--- a/src/bulrushflow/platform/store.py
+++ b/src/bulrushflow/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store: topics of keyed records behind HTTP."""
+"""Client of the platform's store: topics of keyed records over HTTP."""
 
 import asyncio
 import base64
@@ -20,15 +20,15 @@
 from bulrushflow.sidecar.storage import StoreWrite
 
 CALL_TIMEOUT_S = 1.5
-"""Time after which a call without a wait counts as failed."""
+"""Timeout of a request that doesn't wait for records."""
 CONNECT_TIMEOUT_S = 1.0
 READ_MARGIN_S = 2.0
-"""Time beyond its wait after which a read counts as failed."""
+"""Timeout of a long-polling read, beyond the time that it waits for records."""
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
 KEEP_ALIVE_PROBES = 2
 USER_TIMEOUT_MS = 3_000
-"""A connection whose packets nobody acknowledges is given up after so long."""
+"""A connection is closed when data stays unacknowledged for so long."""
 MAX_READ_KB = 1_024
 
 _LENGTH = struct.Struct(">I")
@@ -36,8 +36,8 @@
 
 
 class _Appended(msgspec.Struct):
-    offset: int = -1  # of the first record
-    end: int = -1  # offset that the next record will get
+    offset: int = -1  # offset of the first record
+    end: int = -1  # offset of the next record to be appended
 
 
 class _Item(msgspec.Struct):
@@ -48,12 +48,12 @@
 
 class _Newest(msgspec.Struct):
     items: list[_Item]
-    more: bool  # whether to go on after the last key
+    more: bool  # whether another page follows after the last key
     end: int
 
 
 class PlatformStore:
-    """One partition's keyed records: read all, read on, append."""
+    """Implements :class:`Store` on the first partition of each topic."""
 
     def __init__(self, endpoint: Endpoint) -> None:
         self._base = f"http://{endpoint}"
@@ -65,9 +65,10 @@
             await self._session.close()
 
     async def newest(self, topic: str) -> Result[StorePage, StoreError]:
-        """Return the newest record of each key, and where to read on from.
+        """Return the latest record of each key, and the offset at which to read on.
 
-        Taken together the pages are no snapshot, so reading goes on from the first page's end.
+        The pages together are no consistent snapshot, since records may be appended between them.
+        So the offset to read on is the end that the first page reports.
         """
         records: list[KeyedRecord] = []
         end: int | None = None
@@ -100,7 +101,7 @@
     async def read(
         self, topic: str, from_offset: int, wait_s: float
     ) -> Result[StorePage, StoreError]:
-        """Return records from an offset on, waiting up to ``wait_s`` seconds for the first."""
+        """Return records from an offset on, waiting up to ``wait_s`` seconds for the first one."""
         query = {
             "topic": topic,
             "part": "0",
@@ -114,9 +115,11 @@
             case Ok((200, body)):
                 return _decode_records(body, from_offset)
             case Ok((410, _)):
-                return Err(StoreError(StoreErrorKind.TRIMMED, "the offset is no longer kept"))
+                return Err(
+                    StoreError(StoreErrorKind.TRIMMED, f"offset {from_offset} is no longer kept")
+                )
             case Ok((404, _)):
-                # A topic that nobody wrote to yet.
+                # The topic doesn't exist before its first record, so the wait happens here.
                 await asyncio.sleep(wait_s)
                 return Ok(StorePage((), from_offset))
             case Ok((status, _)):
@@ -125,9 +128,9 @@
     async def append(
         self, topic: str, writes: t.Sequence[StoreWrite], expected_end: int | None = None
     ) -> Result[int, StoreError]:
-        """Append records, all or none; return the offset of the first.
+        """Append all records atomically and return the offset of the first one.
 
-        :param expected_end: append only if the partition ends at this offset.
+        :param expected_end: if given, append only if the partition ends at this offset.
         """
         query = {"topic": topic, "part": "0"}
         if expected_end is not None:
@@ -139,7 +142,11 @@
             case Ok((200, response)):
                 pass
             case Ok((412, _)):
-                return Err(StoreError(StoreErrorKind.CONFLICT, "others appended meanwhile"))
+                return Err(
+                    StoreError(
+                        StoreErrorKind.CONFLICT, f"the topic does not end at offset {expected_end}"
+                    )
+                )
             case Ok((status, _)):
                 return Err(_status_error(status))
         try:
@@ -194,7 +201,12 @@
 
 def _decode_records(data: bytes, from_offset: int) -> Result[StorePage, StoreError]:
     if len(data) < _ENDS.size:
-        return Err(StoreError(StoreErrorKind.UNREADABLE, "an answer without the ends"))
+        return Err(
+            StoreError(
+                StoreErrorKind.UNREADABLE,
+                f"response of {len(data)} bytes is shorter than its header",
+            )
+        )
     records: list[KeyedRecord] = []
     start = _ENDS.size
     offset = from_offset
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -10,7 +10,7 @@
 
 
 class StoreStandIn:
-    """Holds the records of each topic; loses, refuses or trims on command."""
+    """Keeps the records of each topic, and fails, trims or loses responses as a test sets it."""
 
     def __init__(self) -> None:
         self.records_by_topic: dict[str, list[tuple[str, bytes]]] = {}
@@ -41,7 +41,7 @@
         self._changed = asyncio.Event()
 
     def newest(self, topic: str) -> dict[str, bytes]:
-        """Return the newest value of each key."""
+        """Return the latest value of each key."""
         return dict(self.records_by_topic.get(topic, ()))
 
     async def _append(self, request: web.Request) -> web.Response:
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -27,12 +27,12 @@
 
 
 def document(*rules: dict[str, t.Any], **changes: t.Any) -> bytes:
-    whole = {
+    default = {
         "version": 7,
         "listeners": [{"host": "h.example", "ruleSet": list(rules)}],
         "clusters": [{"name": "s1"}, {"name": "s2", "maxConnections": 9}],
     }
-    return json.dumps(whole | changes).encode()
+    return json.dumps(default | changes).encode()
 
 
 ANNOUNCEMENT = {
@@ -49,7 +49,7 @@
 
 
 class ConfigurationDocumentTests(unittest.TestCase):
-    def test_routes_are_found_by_host_and_longest_prefix(self) -> None:
+    def test_routes_match_by_host_and_longest_prefix(self) -> None:
         longer = rule(name="longer", match={"pathPrefix": "/a/b/"})
         routing = decode_configuration(document(rule(), longer)).unwrap()
         for path, name in (("/a/x?b=/a/b/c", "r"), ("/a/b/c", "longer"), ("/a/b", "r")):
@@ -59,14 +59,14 @@
         for host, path in (("h.example", "/b/"), ("other", "/a/x"), ("h.example", "*")):
             self.assertIsNone(routing.match(host, path))
 
-    def test_what_may_be_repeated_follows_from_the_kind(self) -> None:
+    def test_idempotency_follows_from_the_kind_of_route(self) -> None:
         for kind, idempotent in (("safe", True), ("unsafe", False), ("keyed", False)):
             routing = decode_configuration(document(rule(kind=kind))).unwrap()
             route = routing.match("h.example", "/a/x")
             assert route is not None
             self.assertEqual(route.idempotent, idempotent)
 
-    def test_a_split_keeps_its_weights(self) -> None:
+    def test_a_traffic_split_keeps_its_weights(self) -> None:
         action = {
             "trafficSplit": [{"service": "s1", "weight": 90}, {"service": "s2", "weight": 10}],
             "timeout": "1s",
@@ -77,8 +77,8 @@
         assert route is not None
         self.assertEqual([(p.service, p.weight) for p in route.services], [("s1", 90), ("s2", 10)])
 
-    def test_a_faulty_document_is_refused_whole(self) -> None:
-        faulty = {
+    def test_an_invalid_document_is_rejected_as_a_whole(self) -> None:
+        invalid = {
             "unknown service": document(rule(action=rule()["action"] | {"service": "nobody"})),
             "unknown kind": document(rule(kind="odd")),
             "no attempts": document(rule(action=rule()["action"] | {"maxAttempts": 0})),
@@ -88,12 +88,14 @@
             "cut short": document(rule())[:-20],
             "empty": b"",
         }
-        for name, data in faulty.items():
+        for name, data in invalid.items():
             with self.subTest(name):
                 self.assertTrue(decode_configuration(data).is_err())
 
     @given(st.binary(max_size=200))
-    def test_any_bytes_are_decoded_or_refused(self, data: bytes) -> None:
+    def test_arbitrary_bytes_are_decoded_or_rejected_without_an_exception(
+        self, data: bytes
+    ) -> None:
         decode_configuration(data)
         decode_rollout_order("rollout/s1", data, 1)
         decode_announcement("i", data)
@@ -111,7 +113,7 @@
             (entry.revision, entry.state), ((1_700_000_000_000, 3), TargetState.DRAINING)
         )
 
-    def test_a_faulty_announcement_names_no_target(self) -> None:
+    def test_an_invalid_announcement_is_rejected(self) -> None:
         for changes in (
             {"state": "sleepy"},
             {"slots": 0},
@@ -124,29 +126,29 @@
                 self.assertTrue(self.decode(**changes).is_err())
         for field in ANNOUNCEMENT.keys() - {"coldRemaining"}:
             with self.subTest(missing=field):
-                left = {k: v for k, v in ANNOUNCEMENT.items() if k != field}
-                self.assertTrue(decode_announcement("i", json.dumps(left).encode()).is_err())
+                remaining = {k: v for k, v in ANNOUNCEMENT.items() if k != field}
+                self.assertTrue(decode_announcement("i", json.dumps(remaining).encode()).is_err())
 
 
-class MoveDocumentTests(unittest.TestCase):
+class RolloutDocumentTests(unittest.TestCase):
     def test_an_order_is_decoded(self) -> None:
         data = b'{"service":"s1","targetVersion":"v2","duration":"12s"}'
         order = decode_rollout_order("rollout/s1", data, 5).unwrap()
         self.assertEqual((order.to_version, order.duration_s, order.order_id), ("v2", 12.0, 5))
         self.assertTrue(decode_rollout_order("rollout/other", data, 5).is_err())
 
-    def test_a_status_is_read_back_and_shows_the_operators_words(self) -> None:
-        words = {
+    def test_a_status_round_trips_and_has_the_operators_state_names(self) -> None:
+        states = {
             RolloutPhase.RUNNING: "running",
             RolloutPhase.COMPLETED: "completed",
             RolloutPhase.ROLLED_BACK: "rolled_back",
         }
-        for phase, word in words.items():
+        for phase, state in states.items():
             status = RolloutStatus("s1", "v2", 5, 3, 100, phase, 1, 2, "why", "n-1")
             data = encode_status(status)
-            self.assertEqual(json.loads(data)["state"], word)
+            self.assertEqual(json.loads(data)["state"], state)
             self.assertEqual(json.loads(data)["targetVersion"], "v2")
             self.assertEqual(decode_status(data).unwrap(), status)
 
-    def test_a_status_of_another_writer_is_an_error(self) -> None:
+    def test_a_status_without_the_projects_own_fields_is_rejected(self) -> None:
         self.assertTrue(decode_status(b'{"state":"running","targetVersion":"v2"}').is_err())
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -39,24 +39,24 @@
         self.assertEqual((settings.bounds.grace_s, settings.bounds.retry_slack), (6.0, 60.0))
         self.assertEqual((settings.peer_port, settings.metrics_port), (7620, 7635))
 
-    def test_a_faulty_file_is_refused_with_the_field(self) -> None:
+    def test_an_error_in_a_file_names_the_field(self) -> None:
         cases = {
             "nodeName": FILE.replace('nodeName = "sidecar-a-1"', ""),
             "no IP:PORT": FILE.replace("10.200.1.7:8309", "nowhere"),
-            "no time": FILE.replace('"6s"', '"6 minutes"'),
+            "no duration": FILE.replace('"6s"', '"6 minutes"'),
             "$.bounds.retryBudgetSlack": FILE.replace(
                 "retryBudgetSlack = 60", 'retryBudgetSlack = "many"'
             ),
             "settings": "not toml [",
         }
-        for words, text in cases.items():
-            with self.subTest(words=words):
-                self.assertIn(words, decode_settings(text.encode()).unwrap_err())
+        for message, text in cases.items():
+            with self.subTest(message=message):
+                self.assertIn(message, decode_settings(text.encode()).unwrap_err())
 
-    def test_bytes_that_are_no_text_are_refused(self) -> None:
+    def test_bytes_that_are_not_utf8_are_rejected(self) -> None:
         self.assertTrue(decode_settings(b"\xff\xfe").is_err())
 
-    def test_times_are_seconds(self) -> None:
+    def test_durations_are_parsed_as_seconds(self) -> None:
         self.assertEqual((parse_duration("1500ms"), parse_duration("2.5s")), (1.5, 2.5))
         for text in ("5", "", "-1s", None, 3):
             with self.assertRaises(ValueError):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -29,7 +29,7 @@
         self.stand_in.put("t", "a", b"1")
         self.assertEqual(len((await reading).unwrap().records), 1)
 
-    async def test_all_pages_of_the_newest_are_read_and_dropped_keys_left_out(self) -> None:
+    async def test_newest_reads_all_pages_without_deleted_keys(self) -> None:
         self.stand_in.page_size = 2
         for key in ("a", "b", "c", "d", "e"):
             self.stand_in.put("t", key, key.encode())
@@ -41,7 +41,7 @@
         )
         self.assertEqual(page.next_offset, 7)
 
-    async def test_a_condition_that_does_not_hold_is_a_conflict(self) -> None:
+    async def test_a_conditional_append_at_another_end_is_a_conflict(self) -> None:
         self.stand_in.put("t", "a", b"1")
         error = (await self.store.append("t", [StoreWrite("a", b"2")], expected_end=0)).unwrap_err()
         self.assertIs(error.kind, StoreErrorKind.CONFLICT)
@@ -49,7 +49,7 @@
             (await self.store.append("t", [StoreWrite("a", b"2")], expected_end=1)).is_ok()
         )
 
-    async def test_failures_say_whether_anything_may_have_been_done(self) -> None:
+    async def test_errors_distinguish_refused_calls_from_unknown_outcomes(self) -> None:
         for status, kind in (
             (503, StoreErrorKind.REFUSED),
             (429, StoreErrorKind.REFUSED),
@@ -62,19 +62,19 @@
             self.assertIs((await self.store.read("t", 0, 0.0)).unwrap_err().kind, kind)
             self.assertIs((await self.store.newest("t")).unwrap_err().kind, kind)
 
-    async def test_a_lost_answer_is_uncertain_and_nothing_is_sent_again(self) -> None:
+    async def test_a_lost_response_is_an_unknown_outcome_without_a_retry(self) -> None:
         self.stand_in.loses_responses = True
         error = (await self.store.append("t", [StoreWrite("a", b"1")])).unwrap_err()
         self.assertIs(error.kind, StoreErrorKind.UNKNOWN)
         self.assertEqual(len(self.stand_in.records_by_topic["t"]), 1)
 
-    async def test_trimmed_offsets_are_told(self) -> None:
+    async def test_a_read_of_a_trimmed_offset_is_an_error(self) -> None:
         self.stand_in.put("t", "a", b"1")
         self.stand_in.first_offset_by_topic["t"] = 1
         error = (await self.store.read("t", 0, 0.0)).unwrap_err()
         self.assertIs(error.kind, StoreErrorKind.TRIMMED)
 
-    async def test_a_store_that_is_away_refuses(self) -> None:
+    async def test_a_failed_connection_is_a_refused_call(self) -> None:
         await self.stand_in.stop()
         error = (await self.store.newest("t")).unwrap_err()
         self.assertIs(error.kind, StoreErrorKind.REFUSED)
