--- a/tests/sidecar/test_application.py
+++ b/tests/sidecar/test_application.py
@@ -57,7 +57,7 @@
 
 
 class Instance:
-    """One sidecar with its target, on a loopback address of its own."""
+    """A sidecar with its target, on its own loopback address."""
 
     def __init__(self, address: str, store: Endpoint, target: Endpoint) -> None:
         ports = [free_port(address) for _ in range(5)]
@@ -101,16 +101,16 @@
         self.targets = [FakeTarget(), FakeTarget()]
         self.instances = []
         for address, target in zip(ADDRESSES, self.targets, strict=True):
-            found = await target.start()
+            target_endpoint = await target.start()
             self.addAsyncCleanup(target.stop)
-            instance = Instance(address, endpoint, found)
+            instance = Instance(address, endpoint, target_endpoint)
             await instance.sidecar.start()
             self.addAsyncCleanup(instance.sidecar.stop)
             self.instances.append(instance)
 
     async def announce(self, number: int, state: str = "ready", sequence: int = 1) -> int:
         instance = self.instances[number]
-        said = {
+        announcement = {
             "service": "s1",
             "address": instance.target_address,
             "zone": "a",
@@ -121,7 +121,7 @@
             "born": 1,
         }
         url = f"http://{instance.settings.announcements}/-/instances/t-{number}"
-        async with self.http.put(url, json=said) as response:
+        async with self.http.put(url, json=announcement) as response:
             return response.status
 
     async def call(self, number: int, call_id: str, path: str = "/a/b") -> tuple[int, bytes]:
@@ -136,14 +136,14 @@
             return response.status == 200
 
     async def serve(self) -> None:
-        """Publish a configuration, announce both targets, and wait until all nodes know."""
+        """Publish a configuration, announce both targets, and wait until both nodes list them."""
         self.store.put("keyed.op", "config", configuration(1))
         for number in range(2):
             await self.announce(number)
         for instance in self.instances:
             await instance.until_serving()
 
-    async def test_before_a_configuration_calls_are_refused_as_not_run(self) -> None:
+    async def test_calls_are_rejected_until_a_configuration_is_applied(self) -> None:
         self.assertFalse(await self.is_ready(0))
         self.assertEqual((await self.call(0, "c-1"))[0], 503)
 
@@ -154,7 +154,7 @@
         self.assertTrue(all(target.received for target in self.targets))
         self.assertEqual((await self.call(0, "c-x", "/other/"))[0], 404)
 
-    async def test_a_leaving_target_gets_nothing_after_its_acknowledgement(self) -> None:
+    async def test_a_draining_target_gets_no_calls_after_the_acknowledgement(self) -> None:
         await self.serve()
         self.assertEqual(await self.announce(1, "draining", 2), 200)
         written = self.store.newest("keyed.nodes")[node_key(ADDRESSES[1])]
@@ -163,7 +163,7 @@
             self.assertEqual((await self.call(i % 2, f"c-{i}"))[0], 200)
         self.assertEqual(self.targets[1].received, [])
 
-    async def test_a_leave_is_acknowledged_while_the_store_is_away(self) -> None:
+    async def test_draining_is_acknowledged_while_the_store_is_unavailable(self) -> None:
         await self.serve()
         self.store.status = 503
         with mock.patch("bulrushflow.sidecar.endpoints.ACKNOWLEDGE_TIMEOUT_S", 0.01):
@@ -172,7 +172,7 @@
             self.assertEqual((await self.call(i % 2, f"c-{i}"))[0], 200)
         self.assertEqual(self.targets[1].received, [])
 
-    async def test_an_older_configuration_is_not_taken(self) -> None:
+    async def test_an_older_configuration_is_ignored(self) -> None:
         await self.serve()
         self.store.put("keyed.op", "config", configuration(5))
         for instance in self.instances:
@@ -183,37 +183,37 @@
         for instance in self.instances:
             await instance.until_version(6)
 
-    async def test_a_restarted_node_takes_its_target_up_from_the_store(self) -> None:
+    async def test_a_restarted_node_restores_its_target_from_the_store(self) -> None:
         await self.serve()
         instance = self.instances[1]
         await instance.sidecar.stop()
-        again = instance.new_sidecar()
-        await again.start()
-        self.addAsyncCleanup(again.stop)
-        await until(again.is_ready)
+        restarted = instance.new_sidecar()
+        await restarted.start()
+        self.addAsyncCleanup(restarted.stop)
+        await until(restarted.is_ready)
 
-        await until(lambda: len(again.directory.ready_peers("s1")) == 2)
+        await until(lambda: len(restarted.directory.ready_peers("s1")) == 2)
         for i in range(20):
             self.assertEqual((await self.call(1, f"c-{i}"))[0], 200)
         self.assertTrue(self.targets[1].received)
 
-    async def test_a_caller_that_leaves_as_it_is_answered_is_no_error_of_the_server(self) -> None:
+    async def test_a_caller_that_disconnects_during_the_response_logs_no_server_error(self) -> None:
         await self.serve()
-        left = mock.patch.object(
+        disconnect = mock.patch.object(
             web.Response, "write_eof", side_effect=ConnectionResetError("left")
         )
-        broken = self.assertRaises(aiohttp.ClientError)
-        with left, self.assertNoLogs("aiohttp.server"), broken:
+        call_fails = self.assertRaises(aiohttp.ClientError)
+        with disconnect, self.assertNoLogs("aiohttp.server"), call_fails:
             await self.call(0, "c-1")
         self.assertEqual((await self.call(0, "c-2"))[0], 200)
 
-    async def test_a_stop_lets_a_call_in_flight_end(self) -> None:
+    async def test_a_stop_drains_calls_in_flight(self) -> None:
         await self.serve()
         for target in self.targets:
             target.released.clear()
         calls = [asyncio.ensure_future(self.call(0, f"c-{i}")) for i in range(4)]
-        arrived = [target.received for target in self.targets]
-        await until(lambda: sum(map(len, arrived)) == 4)
+        received = [target.received for target in self.targets]
+        await until(lambda: sum(map(len, received)) == 4)
         stopping = asyncio.ensure_future(self.instances[0].sidecar.stop())
         await asyncio.sleep(0.1)
         for target in self.targets:
--- a/tests/sidecar/test_decisions.py
+++ b/tests/sidecar/test_decisions.py
@@ -14,22 +14,22 @@
 from tests.sidecar.samples import call
 
 
-class DecisionsTests(unittest.IsolatedAsyncioTestCase):
+class DecisionLogTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.lines: list[dict[str, t.Any]] = []
-        sink = logger.add(lambda message: self.take(message.record), format="{message}")
+        sink = logger.add(lambda message: self.record_line(message.record), format="{message}")
         self.addCleanup(logger.remove, sink)
 
-    def take(self, record: t.Any) -> None:
+    def record_line(self, record: t.Any) -> None:
         self.lines.append({"message": record["message"], **record["extra"]})
 
-    async def test_a_refused_call_names_its_id_reason_and_inputs(self) -> None:
+    async def test_a_refused_call_is_logged_with_id_reason_and_inputs(self) -> None:
         DecisionLog().refused(call("r-9", attempt=1), "no target", load=3, slots=4)
         (line,) = self.lines
         for name, value in {"request": "r-9", "reason": "no target", "load": 3}.items():
             self.assertEqual(line[name], value)
 
-    async def test_lines_of_one_kind_are_bounded_and_the_rest_is_counted(self) -> None:
+    async def test_lines_of_one_event_are_rate_limited_and_others_are_not(self) -> None:
         decisions = DecisionLog()
         for _ in range(1000):
             decisions.refused(call(), "no target")
@@ -37,7 +37,7 @@
         decisions.event("target left", target="t-1")
         self.assertEqual(self.lines[-1]["message"], "target left")
 
-    async def test_most_answers_in_time_are_left_out_and_no_late_one(self) -> None:
+    async def test_successful_calls_are_sampled_and_late_ones_are_not(self) -> None:
         decisions = DecisionLog()
         for _ in range(SUCCESS_SAMPLE_INTERVAL):
             decisions.answered(call(), Response(200, (), b""), False)
@@ -47,7 +47,7 @@
 
 
 class BoundedWriterTests(unittest.TestCase):
-    def test_a_reader_that_stops_costs_lines_and_no_waiting(self) -> None:
+    def test_a_reader_that_stops_causes_dropped_lines_without_blocking(self) -> None:
         reader, writer = os.pipe()
         self.addCleanup(os.close, writer)
         os.set_blocking(writer, False)
@@ -61,7 +61,7 @@
             data += os.read(reader, 10 << 20)
             bounded.write(line)
         os.close(reader)
-        self.assertTrue(b"lines dropped" in data, "no line tells of the dropped ones")
+        self.assertTrue(b"lines dropped" in data, "no line reports the dropped ones")
         note = next(text for text in data.split(b"\n") if b"lines dropped" in text)
         self.assertGreater(json.loads(note)["count"], 0)
 
--- a/tests/sidecar/test_directory.py
+++ b/tests/sidecar/test_directory.py
@@ -16,14 +16,14 @@
             self.directory.update(f"node/{number}", entry)
 
     def ready(self, service: str = "statements") -> set[str]:
-        return {found.entry.node_id for found in self.directory.ready_peers(service)}
+        return {known.entry.node_id for known in self.directory.ready_peers(service)}
 
     def changed(self, number: int, **changes: t.Any) -> NodeEntry:
         entry = self.entries[number - 1]
         assert entry.target is not None
         return replace(entry, target=replace(entry.target, **changes))
 
-    def test_only_targets_that_are_ready_are_listed(self) -> None:
+    def test_only_ready_targets_are_listed(self) -> None:
         self.assertEqual(self.ready(), {"n-1", "n-2", "n-3"})
         self.directory.update("node/2", self.changed(2, state=TargetState.DRAINING))
         self.directory.update("node/3", replace(self.entries[2], target=None))
@@ -31,19 +31,19 @@
         self.directory.update("node/2", self.changed(2, state=TargetState.READY))
         self.assertEqual(self.ready(), {"n-1", "n-2"})
 
-    def test_an_entry_that_is_told_again_is_listed_once_and_keeps_its_record(self) -> None:
-        held = self.directory.peers_by_key["node/1"]
+    def test_a_repeated_entry_is_listed_once_and_keeps_its_statistics(self) -> None:
+        current = self.directory.peers_by_key["node/1"]
         self.directory.update("node/1", self.entries[0])
         self.assertEqual(len(self.directory.ready_peers("statements")), 3)
-        self.assertIs(self.directory.peers_by_key["node/1"], held)
+        self.assertIs(self.directory.peers_by_key["node/1"], current)
 
-    def test_a_new_target_of_another_service_leaves_the_old_list(self) -> None:
-        held = self.directory.peers_by_key["node/1"]
+    def test_a_new_target_of_another_service_replaces_the_old_one(self) -> None:
+        current = self.directory.peers_by_key["node/1"]
         self.directory.update("node/1", self.changed(1, service="plots", target_id="t-9"))
         self.assertEqual((self.ready(), self.ready("plots")), ({"n-2", "n-3"}, {"n-1"}))
-        self.assertFalse(self.directory.is_current(held))
+        self.assertFalse(self.directory.is_current(current))
 
-    def test_nodes_that_are_gone_are_forgotten(self) -> None:
+    def test_removed_nodes_are_no_longer_listed(self) -> None:
         self.directory.remove("node/1")
         self.directory.remove("node/9")
         self.directory.retain({"node/3"})
--- a/tests/sidecar/test_replica.py
+++ b/tests/sidecar/test_replica.py
@@ -40,13 +40,13 @@
         self.addAsyncCleanup(self.replica.stop)
         await until(lambda: self.replica.loaded)
 
-    async def test_records_before_and_after_the_start_are_taken(self) -> None:
+    async def test_records_from_before_and_after_the_start_are_applied(self) -> None:
         self.store.put("a", b"1")
         await self.start()
         self.store.put("a", b"2")
         await until(lambda: self.handler.by_key == {"a": b"2"})
 
-    async def test_a_read_that_others_are_ahead_of_is_made_anew(self) -> None:
+    async def test_a_read_that_lags_behind_a_peer_is_restarted(self) -> None:
         await self.start()
         await until(lambda: bool(self.store.reads))
         self.store.misses_wakeups = True
@@ -56,7 +56,7 @@
         self.replica.note_peer_offset(1)
         await until(lambda: self.handler.by_key == {"a": b"1"})
 
-    async def test_a_hint_at_what_is_held_already_changes_nothing(self) -> None:
+    async def test_a_peer_offset_that_was_read_already_is_ignored(self) -> None:
         self.store.put("a", b"1")
         await self.start()
         await until(lambda: bool(self.store.reads))
@@ -64,7 +64,7 @@
         await asyncio.sleep(0.01)
         self.assertEqual(len(self.store.reads), 1)
 
-    async def test_trimmed_records_lead_to_the_whole_state(self) -> None:
+    async def test_a_trimmed_offset_makes_the_replica_reload_the_whole_state(self) -> None:
         await self.start()
         await until(lambda: bool(self.store.reads))
         self.store.first_offset = 2
@@ -72,7 +72,7 @@
         self.store.put("b", b"2")
         await until(lambda: self.handler.by_key == {"a": b"1", "b": b"2"})
 
-    async def test_an_outage_keeps_what_is_held_and_ends(self) -> None:
+    async def test_the_replica_keeps_its_state_in_an_outage_and_catches_up_after_it(self) -> None:
         self.store.put("a", b"1")
         await self.start()
         self.store.unavailable = True
