--- a/src/bulrushflow/platform/settings.py
+++ b/src/bulrushflow/platform/settings.py
@@ -43,8 +43,8 @@
     budgetWindow: str = "10s"  # noqa: N815  window in which retries are counted
     retryBudgetRatio: float = 0.2  # noqa: N815
     retryBudgetSlack: float = 60.0  # noqa: N815
-    canaryShare: float = 0.1  # noqa: N815  fraction of a service's calls
-    canarySlack: float = 50.0  # noqa: N815
+    canaryShare: float = 0.1  # noqa: N815  fraction of a service's calls for a faulty version
+    canarySlack: float = 50.0  # noqa: N815  calls beyond that fraction
 
 
 class _Platform(msgspec.Struct):
--- a/src/bulrushflow/platform/store.py
+++ b/src/bulrushflow/platform/store.py
@@ -189,8 +189,8 @@
 
 def _status_error(status: int) -> StoreError:
     if status in {429, 503}:
-        return StoreError(StoreErrorKind.REFUSED, f"status {status}")
-    return StoreError(StoreErrorKind.UNKNOWN, f"status {status}")
+        return StoreError(StoreErrorKind.REFUSED, f"the store responded with status {status}")
+    return StoreError(StoreErrorKind.UNKNOWN, f"the store responded with status {status}")
 
 
 def _encode_record(write: StoreWrite) -> bytes:
--- a/src/bulrushflow/sidecar/records.py
+++ b/src/bulrushflow/sidecar/records.py
@@ -14,6 +14,7 @@
 
 NODE_KEY_PREFIX = "node/"
 ROLLOUT_KEY_PREFIX = "move/"
+"""Prefix of the keys of rollout statuses in notices between nodes."""
 
 
 def node_key(address: str) -> str:
--- a/src/bulrushflow/sidecar/replica.py
+++ b/src/bulrushflow/sidecar/replica.py
@@ -20,7 +20,7 @@
 """Long-poll timeout of the first read after records arrived. Changes often come in series, and an
 append that overlaps with a read may not wake it."""
 LONG_POLL_S = 10.0
-"""Long-poll timeout of later reads. A silent connection is detected only when it ends."""
+"""Long-poll timeout of later reads. A silent connection is noticed only when the read times out."""
 BATCH_PAUSE_S = 0.5
 """Pause after records arrived, so that the next read returns several at once."""
 LAG_TOLERANCE_S = 0.3
