--- a/src/bulrushflow/platform/documents.py
+++ b/src/bulrushflow/platform/documents.py
@@ -1,4 +1,4 @@
-"""Documents of the operator and announcements of targets, decoded into the product's types."""
+"""Decoding of the operator's documents and the targets' announcements into the project's types."""
 
 import time
 import typing as t
@@ -22,27 +22,27 @@
 
 CONFIGURATION_KEY = "config"
 ROLLOUT_KEY_PREFIX = "rollout/"
-"""Of the orders' keys, and of the statuses' in their own topic."""
-KINDS = {"safe": True, "unsafe": False, "keyed": False}
-"""Whether calls of a kind of route may run more than once."""
-PHASES = {
+"""Prefix of the keys of orders, and of statuses in their own topic."""
+IDEMPOTENT_BY_KIND = {"safe": True, "unsafe": False, "keyed": False}
+"""Whether calls of a kind of route may be retried after they may have run."""
+STATE_BY_PHASE = {
     RolloutPhase.RUNNING: "running",
     RolloutPhase.COMPLETED: "completed",
     RolloutPhase.ROLLED_BACK: "rolled_back",
 }
-STATES = {"ready": TargetState.READY, "draining": TargetState.DRAINING}
+TARGET_STATE_BY_NAME = {"ready": TargetState.READY, "draining": TargetState.DRAINING}
 
 
-class _Part(msgspec.Struct):
+class _SplitPart(msgspec.Struct):
     service: str
     weight: float
 
 
 class _Action(msgspec.Struct):
     timeout: str
-    maxAttempts: int  # noqa: N815  targets that one call may be sent to
+    maxAttempts: int  # noqa: N815  targets that a call may be sent to
     service: str | None = None
-    trafficSplit: list[_Part] = []  # noqa: N815  instead of one service
+    trafficSplit: list[_SplitPart] = []  # noqa: N815  instead of ``service``
 
 
 class _Match(msgspec.Struct):
@@ -54,7 +54,7 @@
     kind: str
     match: _Match
     action: _Action
-    targetLatency: str = "1s"  # noqa: N815  answers beyond it lose worth
+    targetLatency: str = "1s"  # noqa: N815  later responses count as late
     priority: int = 0
 
 
@@ -66,7 +66,7 @@
 class _Cluster(msgspec.Struct):
     name: str
     healthPath: str = "/health"  # noqa: N815
-    maxConnections: int = 100  # noqa: N815  of one target, from all its clients
+    maxConnections: int = 100  # noqa: N815  to one target, from all nodes
 
 
 class _Limits(msgspec.Struct):
@@ -97,25 +97,28 @@
     service: str
     address: str
     zone: str
-    version: str  # release of the target's software
+    version: str  # version of the service that the target runs
     slots: int
     state: str
     seq: int
-    born: int  # epoch milliseconds of the target's start
-    coldRemaining: str = "0ms"  # noqa: N815  time until the target is at its usual speed
+    born: int  # start of the target, in epoch milliseconds
+    coldRemaining: str = "0ms"  # noqa: N815  time until the target is warm
 
 
 def decode_configuration(data: bytes) -> Result[Routing, str]:
-    """Decode the operator's newest configuration; all of it or nothing."""
+    """Decode the operator's configuration; one invalid part rejects all of it."""
     try:
         document = msgspec.json.decode(data, type=_Configuration)
-        return _routing(document)
+        return _convert_configuration(document)
     except (msgspec.MsgspecError, ValueError) as exc:
         return Err(f"configuration: {exc}")
 
 
 def decode_rollout_order(key: str, data: bytes, offset: int) -> Result[RolloutOrder, str]:
-    """Decode the operator's order to move a service to a version."""
+    """Decode the operator's order to roll out a version of a service.
+
+    :param offset: offset of the record; becomes the order's id.
+    """
     try:
         document = msgspec.json.decode(data, type=_Rollout)
         duration_s = parse_duration(document.duration)
@@ -127,19 +130,19 @@
 
 
 def encode_status(status: RolloutStatus) -> bytes:
-    """Encode a move's status: the fields that operators read, and the product's own beside them."""
+    """Encode a rollout status: the operators' fields, and the whole status under ``move``."""
     return msgspec.json.encode(
         {
             "service": status.service,
             "targetVersion": status.to_version,
-            "state": PHASES[status.phase],
+            "state": STATE_BY_PHASE[status.phase],
             "move": status,
         }
     )
 
 
 def decode_status(data: bytes) -> Result[RolloutStatus, str]:
-    """Decode the product's own fields of a move's status."""
+    """Decode the whole status, under ``move``, of an encoded rollout status."""
     try:
         return Ok(msgspec.json.decode(data, type=_Status).move)
     except msgspec.MsgspecError as exc:
@@ -147,32 +150,40 @@
 
 
 def decode_announcement(target_id: str, data: bytes) -> Result[tuple[TargetEntry, str], str]:
-    """Decode what a target says of itself, with its address."""
+    """Decode a target's announcement into its entry and its address."""
     try:
-        said = msgspec.json.decode(data, type=_Announcement)
-        cold_s = parse_duration(said.coldRemaining)
+        announcement = msgspec.json.decode(data, type=_Announcement)
+        cold_s = parse_duration(announcement.coldRemaining)
     except (msgspec.MsgspecError, ValueError) as exc:
         return Err(f"announcement: {exc}")
-    state = STATES.get(said.state)
+    state = TARGET_STATE_BY_NAME.get(announcement.state)
     if state is None:
-        return Err(f"announcement: unknown state {said.state!r}")
-    if not target_id or said.slots < 1 or not said.service or not said.address:
-        return Err("announcement: an empty id, service or address, or no slots")
+        return Err(f"announcement: unknown state {announcement.state!r}")
+    if (
+        not target_id
+        or announcement.slots < 1
+        or not announcement.service
+        or not announcement.address
+    ):
+        return Err(
+            "announcement: id, service and address must not be empty and slots must be at least 1, "
+            f"got slots {announcement.slots}"
+        )
     warm_at_ms = int(time.time() * 1000 + cold_s * 1000) if cold_s else 0
     entry = TargetEntry(
         target_id=target_id,
-        incarnation=said.born,
-        sequence=said.seq,
-        service=said.service,
-        version=said.version,
-        slots=said.slots,
+        incarnation=announcement.born,
+        sequence=announcement.seq,
+        service=announcement.service,
+        version=announcement.version,
+        slots=announcement.slots,
         state=state,
         warm_at_ms=warm_at_ms,
     )
-    return Ok((entry, said.address))
+    return Ok((entry, announcement.address))
 
 
-def _routing(document: _Configuration) -> Result[Routing, str]:
+def _convert_configuration(document: _Configuration) -> Result[Routing, str]:
     services = {
         c.name: ServiceSettings(c.name, c.healthPath, c.maxConnections) for c in document.clusters
     }
@@ -180,7 +191,7 @@
     for listener in document.listeners:
         routes = routes_by_host.setdefault(listener.host, {})
         for rule in listener.ruleSet:
-            match _route(listener.host, rule, services):
+            match _convert_rule(listener.host, rule, services):
                 case Err(reason):
                     return Err(f"configuration {document.version}: route {rule.name}: {reason}")
                 case Ok(route):
@@ -201,27 +212,30 @@
     )
 
 
-def _route(host: str, rule: _Rule, services: t.Mapping[str, t.Any]) -> Result[Route, str]:
+def _convert_rule(host: str, rule: _Rule, services: t.Mapping[str, t.Any]) -> Result[Route, str]:
     action = rule.action
-    parts = [WeightedService(part.service, part.weight) for part in action.trafficSplit]
+    weighted = [WeightedService(part.service, part.weight) for part in action.trafficSplit]
     if action.service is not None:
-        parts = [WeightedService(action.service, 1.0)]
-    if not parts or any(part.service not in services for part in parts):
-        return Err("names a service that isn't defined")
-    if sum(part.weight for part in parts) <= 0 or any(part.weight < 0 for part in parts):
-        return Err("has no weights to divide by")
-    if rule.kind not in KINDS:
+        weighted = [WeightedService(action.service, 1.0)]
+    if not weighted or any(part.service not in services for part in weighted):
+        return Err("names no service, or one that isn't defined")
+    if sum(part.weight for part in weighted) <= 0 or any(part.weight < 0 for part in weighted):
+        return Err("weights must not be negative and their sum must be positive")
+    if rule.kind not in IDEMPOTENT_BY_KIND:
         return Err(f"unknown kind {rule.kind!r}")
     prefix = rule.match.pathPrefix
     if not (prefix.startswith("/") and prefix.endswith("/")) or action.maxAttempts < 1:
-        return Err("a prefix without slashes at both ends, or no attempts")
+        return Err(
+            f"prefix {prefix!r} must begin and end with a slash, and maxAttempts "
+            f"{action.maxAttempts} must be at least 1"
+        )
     return Ok(
         Route(
             name=rule.name,
             host=host,
             prefix=prefix,
-            services=tuple(parts),
-            idempotent=KINDS[rule.kind],
+            services=tuple(weighted),
+            idempotent=IDEMPOTENT_BY_KIND[rule.kind],
             timeout_s=parse_duration(action.timeout),
             latency_objective_s=parse_duration(rule.targetLatency),
             max_attempts=action.maxAttempts,
--- a/src/bulrushflow/sidecar/endpoints.py
+++ b/src/bulrushflow/sidecar/endpoints.py
@@ -1,4 +1,4 @@
-"""The HTTP listeners for the target's announcements, readiness checks and metrics."""
+"""HTTP applications for the target's registration, readiness checks and metrics."""
 
 import typing as t
 
@@ -15,14 +15,15 @@
 from bulrushflow.sidecar.registration import Registration
 from bulrushflow.sidecar.settings import Endpoint
 
-ACKNOWLEDGE_S = 0.6
-"""Longest wait for the store before a leave is acknowledged; the target waits for a second."""
+ACKNOWLEDGE_TIMEOUT_S = 0.6
+"""Maximum time to wait for the store before deregistration or draining is acknowledged. The target
+waits one second for the acknowledgement."""
 
-Decoder = t.Callable[[str, bytes], Result[tuple[TargetEntry, Endpoint], str]]
+AnnouncementDecoder = t.Callable[[str, bytes], Result[tuple[TargetEntry, Endpoint], str]]
 
 
 class AnnouncementPaths(t.NamedTuple):
-    """Paths that the platform uses."""
+    """Paths of the platform's HTTP endpoints."""
 
     targets: str
     """With the placeholder ``{target_id}``."""
@@ -31,14 +32,15 @@
 
 def announcement_application(
     paths: AnnouncementPaths,
-    decode: Decoder,
+    decode: AnnouncementDecoder,
     admission: AdmissionController,
     registration: Registration,
     decisions: DecisionLog,
 ) -> web.Application:
-    """Return the application that takes the target's announcements.
+    """Return the application that registers and deregisters the target.
 
-    That a target leaves is in force here before the answer, and in the store if that answers soon.
+    When a target drains or deregisters, this node sends it no new calls from then on. The response
+    waits up to :data:`ACKNOWLEDGE_TIMEOUT_S` until the store has the change too.
     """
 
     async def announce(request: web.Request) -> web.Response:
@@ -57,17 +59,17 @@
                 sequence=entry.sequence,
             )
         elif entry.state is not TargetState.READY:
-            await registration.settled(ACKNOWLEDGE_S)
+            await registration.wait_written(ACKNOWLEDGE_TIMEOUT_S)
         return web.json_response({})
 
-    async def leave(request: web.Request) -> web.Response:
+    async def deregister(request: web.Request) -> web.Response:
         admission.remove_target(request.match_info["target_id"])
-        await registration.settled(ACKNOWLEDGE_S)
+        await registration.wait_written(ACKNOWLEDGE_TIMEOUT_S)
         return web.json_response({})
 
     app = web.Application()
     app.router.add_put(paths.targets, announce)
-    app.router.add_delete(paths.targets, leave)
+    app.router.add_delete(paths.targets, deregister)
     return app
 
 
@@ -79,7 +81,7 @@
 
 
 def readiness_application(path: str, is_ready: t.Callable[[], bool]) -> web.Application:
-    """Return the application that tells whether this node takes calls."""
+    """Return the readiness check: status 200 while this node accepts calls, else 503."""
 
     async def ready(_: web.Request) -> web.Response:
         return web.Response(status=200 if is_ready() else 503)
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -10,14 +10,14 @@
 
 
 class StoreStandIn:
-    """Holds the records of each topic; loses, refuses or trims on command."""
+    """Keeps the records of each topic, and fails, trims or loses responses as a test sets it."""
 
     def __init__(self) -> None:
         self.records_by_topic: dict[str, list[tuple[str, bytes]]] = {}
-        self.first_by_topic: dict[str, int] = {}
+        self.first_offset_by_topic: dict[str, int] = {}
         self.status = 200
-        self.loses_answers = False
-        self.page = 500
+        self.loses_responses = False
+        self.page_size = 500
         self._changed = asyncio.Event()
         self._runner: web.AppRunner | None = None
 
@@ -41,7 +41,7 @@
         self._changed = asyncio.Event()
 
     def newest(self, topic: str) -> dict[str, bytes]:
-        """Return the newest value of each key."""
+        """Return the latest value of each key."""
         return dict(self.records_by_topic.get(topic, ()))
 
     async def _append(self, request: web.Request) -> web.Response:
@@ -60,7 +60,7 @@
             size = record[0]
             self.put(topic, record[1 : 1 + size].decode(), record[1 + size :])
             start += 4 + length
-        if self.loses_answers and request.transport is not None:
+        if self.loses_responses and request.transport is not None:
             request.transport.abort()
         return web.json_response({"offset": offset, "end": len(records)})
 
@@ -69,7 +69,7 @@
             return web.Response(status=self.status)
         topic = request.query["topic"]
         start = int(request.query["from"])
-        first = self.first_by_topic.get(topic, 0)
+        first = self.first_offset_by_topic.get(topic, 0)
         if start < first:
             return web.json_response({"first": first}, status=410)
         try:
@@ -98,7 +98,7 @@
                 "value": base64.b64encode(newest[key][0]).decode(),
                 "offset": newest[key][1],
             }
-            for key in keys[: self.page]
+            for key in keys[: self.page_size]
         ]
-        more = len(keys) > self.page
+        more = len(keys) > self.page_size
         return web.json_response({"items": items, "more": more, "end": len(records)})
--- a/tests/sidecar/test_replica.py
+++ b/tests/sidecar/test_replica.py
@@ -12,7 +12,7 @@
 from tests.waiting import until
 
 
-class Kept:
+class RecordingHandler:
     def __init__(self) -> None:
         self.by_key: dict[str, bytes] = {}
         self.replaced = 0
@@ -27,57 +27,57 @@
 
 class ReplicaTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        for name in ("PAUSE_S", "BEHIND_S", "FIRST_BACKOFF_S", "MAX_BACKOFF_S"):
+        for name in ("BATCH_PAUSE_S", "LAG_TOLERANCE_S", "FIRST_BACKOFF_S", "MAX_BACKOFF_S"):
             patch = mock.patch.object(replica_module, name, 0.001)
             patch.start()
             self.addCleanup(patch.stop)
         self.store = MemoryStore()
-        self.kept = Kept()
-        self.replica = Replica(self.store, "x", self.kept, DecisionLog(), random.Random(1))
+        self.handler = RecordingHandler()
+        self.replica = Replica(self.store, "x", self.handler, DecisionLog(), random.Random(1))
 
     async def start(self) -> None:
         await self.replica.start()
         self.addAsyncCleanup(self.replica.stop)
         await until(lambda: self.replica.loaded)
 
-    async def test_records_before_and_after_the_start_are_taken(self) -> None:
+    async def test_records_from_before_and_after_the_start_are_applied(self) -> None:
         self.store.put("a", b"1")
         await self.start()
         self.store.put("a", b"2")
-        await until(lambda: self.kept.by_key == {"a": b"2"})
+        await until(lambda: self.handler.by_key == {"a": b"2"})
 
-    async def test_a_read_that_others_are_ahead_of_is_made_anew(self) -> None:
+    async def test_a_read_that_lags_behind_a_peer_is_restarted(self) -> None:
         await self.start()
         await until(lambda: bool(self.store.reads))
         self.store.misses_wakeups = True
         self.store.put("a", b"1")
         await asyncio.sleep(0.01)
-        self.assertEqual(self.kept.by_key, {})
-        self.replica.hint(1)
-        await until(lambda: self.kept.by_key == {"a": b"1"})
+        self.assertEqual(self.handler.by_key, {})
+        self.replica.note_peer_offset(1)
+        await until(lambda: self.handler.by_key == {"a": b"1"})
 
-    async def test_a_hint_at_what_is_held_already_changes_nothing(self) -> None:
+    async def test_a_peer_offset_that_was_read_already_is_ignored(self) -> None:
         self.store.put("a", b"1")
         await self.start()
         await until(lambda: bool(self.store.reads))
-        self.replica.hint(1)
+        self.replica.note_peer_offset(1)
         await asyncio.sleep(0.01)
         self.assertEqual(len(self.store.reads), 1)
 
-    async def test_trimmed_records_lead_to_the_whole_state(self) -> None:
+    async def test_a_trimmed_offset_makes_the_replica_reload_the_whole_state(self) -> None:
         await self.start()
         await until(lambda: bool(self.store.reads))
         self.store.first_offset = 2
         self.store.put("a", b"1")
         self.store.put("b", b"2")
-        await until(lambda: self.kept.by_key == {"a": b"1", "b": b"2"})
+        await until(lambda: self.handler.by_key == {"a": b"1", "b": b"2"})
 
-    async def test_an_outage_keeps_what_is_held_and_ends(self) -> None:
+    async def test_the_replica_keeps_its_state_in_an_outage_and_catches_up_after_it(self) -> None:
         self.store.put("a", b"1")
         await self.start()
         self.store.unavailable = True
         self.store.put("a", b"2")
         await asyncio.sleep(0.01)
         self.store.unavailable = False
-        await until(lambda: self.kept.by_key == {"a": b"2"})
+        await until(lambda: self.handler.by_key == {"a": b"2"})
         self.assertTrue(self.replica.loaded)
