--- a/benchmarks/mechanisms.py
+++ b/benchmarks/mechanisms.py
@@ -108,30 +108,36 @@
         "records are pushed and pulled",
         (
             Edit(
-                "nodes/spreading.py",
+                "nodes/dissemination.py",
                 "self.add_future(self._links.send(member.endpoint, records_push=push))",
                 "pass",
             ),
             Edit(
-                "nodes/spreading.py",
-                "        if self._puller.want(endpoint, offset):",
+                "nodes/dissemination.py",
+                "        if self._puller.set_goal(endpoint, offset):",
                 "        if False:",
             ),
         ),
-        ("tests.nodes.test_spreading",),
+        ("tests.nodes.test_dissemination",),
     ),
     Mechanism(
         "a pause begins the check for the newest version again",
         (Edit("configuration/freshness.py", "PAUSE_THRESHOLD_S = 2.0", "PAUSE_THRESHOLD_S = 1e9"),),
         (
             "tests.configuration.test_freshness",
-            "tests.nodes.test_spreading",
+            "tests.nodes.test_dissemination",
         ),
     ),
     Mechanism(
         "a faulty version is taken back",
-        (Edit("nodes/driving.py", "if verdict.outcome is AnalysisOutcome.FAULTY:", "if False:"),),
-        ("tests.nodes.test_driving",),
+        (
+            Edit(
+                "nodes/rollout_driver.py",
+                "if verdict.outcome is AnalysisOutcome.FAULTY:",
+                "if False:",
+            ),
+        ),
+        ("tests.nodes.test_rollout_driver",),
     ),
     Mechanism(
         "a take-back wins each join",
@@ -159,17 +165,18 @@
         "a decision that is out of date is kept from the log",
         (
             Edit(
-                "nodes/driving.py",
+                "nodes/rollout_driver.py",
                 "self._clock.monotonic() - decided_at < DONE_VALID_S",
                 "True",
             ),
             Edit(
-                "nodes/driving.py",
-                "        if self._shared_moves.is_rolled_back(offset):\n            return False\n",
+                "nodes/rollout_driver.py",
+                "        if self._shared_rollouts.is_rolled_back(offset):\n"
+                "            return False\n",
                 "",
             ),
         ),
-        ("tests.nodes.test_driving",),
+        ("tests.nodes.test_rollout_driver",),
     ),
     Mechanism(
         "an answer goes to its own exchange only",
@@ -258,7 +265,7 @@
     ),
     Mechanism(
         "rounds that span an own pause count for nothing",
-        (Edit("nodes/detector.py", "if self._timers.stalled_since(began):", "if False:"),),
+        (Edit("nodes/detector.py", "if self._timers.paused_since(began):", "if False:"),),
         ("tests.nodes.test_detector",),
     ),
 )
--- a/benchmarks/membership_costs.py
+++ b/benchmarks/membership_costs.py
@@ -13,7 +13,7 @@
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
 from bulrushflow.membership import is_top_ranked
-from bulrushflow.nodes.composing import Composer
+from bulrushflow.nodes.composing import MessageComposer
 from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.wire import codec
 from bulrushflow.wire import messages
@@ -68,16 +68,16 @@
     table.live_peers()
     memory_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
-    composer = Composer(table, SharedRollouts(), lambda: 0)
+    composer = MessageComposer(table, SharedRollouts(), lambda: 0)
     order = ProbeOrder(rng)
     raised = [replace(m, incarnation=m.incarnation + 1) for m in members[1:]]
     merges = iter(raised * 2)
     near = table.in_data_centre(members[0].data_centre)
     for member in members[1:200]:
-        composer.tell(member)
-    full = composer.datagram((), ping=messages.Ping(sequence=1))
-    quiet = Composer(table, SharedRollouts(), lambda: 0)
-    empty = quiet.datagram((), ping=messages.Ping(sequence=1))
+        composer.enqueue(member)
+    full = composer.encode_datagram((), ping=messages.Ping(sequence=1))
+    quiet = MessageComposer(table, SharedRollouts(), lambda: 0)
+    empty = quiet.encode_datagram((), ping=messages.Ping(sequence=1))
     results = {
         "merge of a claim that is news": measure(lambda i: table.merge(next(merges), 1.0)),
         "merge of a claim that is held": measure(lambda i: table.merge(raised[0], 1.0)),
@@ -99,7 +99,7 @@
         ),
         "choice of the next probe": measure(lambda i: order.next(table)),
         "encode a datagram without news": measure(
-            lambda i: quiet.datagram((), ping=messages.Ping(sequence=1))
+            lambda i: quiet.encode_datagram((), ping=messages.Ping(sequence=1))
         ),
         "decode a datagram without news": measure(
             lambda i: messages.decode(messages.Datagram, empty)
@@ -125,10 +125,10 @@
     table.digest()
 
 
-def _encode_full(composer: Composer, members: list[Member]) -> None:
+def _encode_full(composer: MessageComposer, members: list[Member]) -> None:
     for member in members[1:10]:
-        composer.tell(member)
-    composer.datagram((), ping=messages.Ping(sequence=1))
+        composer.enqueue(member)
+    composer.encode_datagram((), ping=messages.Ping(sequence=1))
 
 
 def _decode(data: bytes) -> None:
--- a/benchmarks/membership_participant.py
+++ b/benchmarks/membership_participant.py
@@ -19,9 +19,9 @@
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
 from bulrushflow.nodes import Gossip
-from bulrushflow.nodes import Introductions
+from bulrushflow.nodes import SeedDiscovery
+from bulrushflow.nodes.datagrams import DatagramHandler
 from bulrushflow.nodes.datagrams import DatagramTransport
-from bulrushflow.nodes.datagrams import Receive
 from bulrushflow.nodes.datagrams import open_udp
 from bulrushflow.recording import HttpLog
 from bulrushflow.rollouts import SharedRollouts
@@ -76,7 +76,7 @@
             except OSError:
                 await self.timers.stop()
                 await self.links.stop()
-        self.introductions = Introductions(
+        self.seed_discovery = SeedDiscovery(
             self.table, self.gossip, self.log, self.timers, (), self.rng
         )
         emit({"event": "ready", "at": time.monotonic()})
@@ -126,7 +126,7 @@
         await self.links.stop()
         await self.log.close()
 
-    async def _open(self, endpoint: Endpoint, receive: Receive) -> DatagramTransport:
+    async def _open(self, endpoint: Endpoint, receive: DatagramHandler) -> DatagramTransport:
         inner = await open_udp(endpoint, receive)
         return LossyTransport(inner, self.loss, self.rng) if self.loss else inner
 
--- a/src/bulrushflow/application.py
+++ b/src/bulrushflow/application.py
@@ -28,9 +28,9 @@
 from bulrushflow.metrics import Metrics
 from bulrushflow.nodes import Forwarding
 from bulrushflow.nodes import Gossip
-from bulrushflow.nodes import Introductions
+from bulrushflow.nodes import RecordDissemination
 from bulrushflow.nodes import RolloutDriver
-from bulrushflow.nodes import Spreading
+from bulrushflow.nodes import SeedDiscovery
 from bulrushflow.operators.endpoint import OperatorEndpoint
 from bulrushflow.recording import HttpLog
 from bulrushflow.recording import Recorder
@@ -73,7 +73,7 @@
         self.failure: InvariantError | None = None
         self.metrics = Metrics(settings.calls.max_tenant_labels)
         self.store = ConfigurationStore()
-        self.shared_moves = SharedRollouts()
+        self.shared_rollouts = SharedRollouts()
         self.timers = Timers(self.rng)
         self.platform_log = HttpLog(settings.platform.url, settings.platform.request_timeout_s)
         self.links = Links(settings.address, settings.peer_port, self.timers)
@@ -89,7 +89,7 @@
         self._build()
         await self.recorder.start()
         await self.gossip.start()
-        await self.spreading.start()
+        await self.dissemination.start()
         self.target_port = await self._serve_application(
             target_application(self.admission_controller), self.target_port
         )
@@ -124,7 +124,7 @@
         await asyncio.sleep(CONNECTION_GRACE_S)
         for runner in reversed(self._runners):
             await runner.cleanup()
-        await self.spreading.stop()
+        await self.dissemination.stop()
         await self.recorder.stop()
         await self.gossip.stop()
         await self.timers.stop()
@@ -134,7 +134,7 @@
 
     def is_ready(self) -> bool:
         """Tell whether this node holds a current configuration and may take calls."""
-        return self.spreading.caught_up
+        return self.dissemination.caught_up
 
     def _build(self) -> None:
         """Construct the parts that need the peer port or the running loop."""
@@ -149,16 +149,16 @@
         self.table = MemberTable(own)
         self.gossip = Gossip(
             self.table,
-            self.shared_moves,
+            self.shared_rollouts,
             self.links,
             self.timers,
             settings.gossip,
             self.rng,
             lambda: self.store.current.offset,
-            lambda endpoint, offset: self.spreading.peer_ahead(endpoint, offset),
+            lambda endpoint, offset: self.dissemination.note_peer_offset(endpoint, offset),
             self.metrics.count_control_bytes,
         )
-        self.spreading = Spreading(
+        self.dissemination = RecordDissemination(
             self.store,
             self.table,
             self.platform_log,
@@ -179,9 +179,9 @@
             self.timers,
             self.clock,
             self.rng,
-            self.spreading.is_reader,
+            self.dissemination.is_reader,
         )
-        self.introductions = Introductions(
+        self.seed_discovery = SeedDiscovery(
             self.table, self.gossip, self.platform_log, self.timers, settings.seeds, self.rng
         )
         self.recorder = Recorder(
@@ -189,12 +189,12 @@
             self.store,
             settings.platform.append_rate_per_s,
             self.rng,
-            lambda: self.driver.possible_writers(),
+            lambda: self.driver.potential_writer_count(),
         )
         self.driver = RolloutDriver(
             self.store,
             self.table,
-            self.shared_moves,
+            self.shared_rollouts,
             self.links,
             self.gossip,
             self.recorder,
@@ -216,7 +216,7 @@
         self.forwarding = Forwarding(self.links, self.admission_controller)
         self.dispatcher = Dispatcher(
             self.table,
-            self.shared_moves,
+            self.shared_rollouts,
             self.admission_controller,
             self.forwarding,
             self.metrics,
@@ -228,7 +228,7 @@
         self.operators = OperatorEndpoint(
             self.store,
             self.table,
-            self.shared_moves,
+            self.shared_rollouts,
             self.gossip,
             self.recorder,
             self.metrics,
--- a/src/bulrushflow/nodes/__init__.py
+++ b/src/bulrushflow/nodes/__init__.py
@@ -1,9 +1,9 @@
 """Other nodes: membership over UDP, spreading of records, forwarded calls."""
 
-from bulrushflow.nodes.driving import RolloutDriver
+from bulrushflow.nodes.dissemination import RecordDissemination
 from bulrushflow.nodes.forwarding import Forwarding
 from bulrushflow.nodes.gossip import Gossip
-from bulrushflow.nodes.introductions import Introductions
-from bulrushflow.nodes.spreading import Spreading
+from bulrushflow.nodes.rollout_driver import RolloutDriver
+from bulrushflow.nodes.seed_discovery import SeedDiscovery
 
-__all__ = ["Forwarding", "Gossip", "Introductions", "RolloutDriver", "Spreading"]
+__all__ = ["Forwarding", "Gossip", "RecordDissemination", "RolloutDriver", "SeedDiscovery"]
--- a/src/bulrushflow/nodes/synchronizing.py
+++ b/src/bulrushflow/nodes/anti_entropy.py
@@ -5,7 +5,7 @@
 
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
-from bulrushflow.nodes.composing import Composer
+from bulrushflow.nodes.composing import MessageComposer
 from bulrushflow.timers import Timers
 from bulrushflow.wire import messages
 from bulrushflow.wire.links import Endpoint
@@ -20,7 +20,7 @@
 """Differences beyond so many members are fetched in pages instead."""
 
 
-class Sender(t.Protocol):
+class SendDatagram(t.Protocol):
     """What sends datagrams with members."""
 
     def __call__(
@@ -29,17 +29,17 @@
         """Send one datagram."""
 
 
-class Synchronizer:
+class AntiEntropy:
     """Starts and answers comparisons, bounded in rate and bytes."""
 
     def __init__(
         self,
         table: MemberTable,
-        composer: Composer,
+        composer: MessageComposer,
         timers: Timers,
         period_s: float,
         rng: random.Random,
-        send: Sender,
+        send: SendDatagram,
         fetch_whole: t.Callable[[Endpoint], None],
     ) -> None:
         self._table = table
@@ -52,7 +52,7 @@
         self._compare_after = float("-inf")
         self._answer_after = float("-inf")
 
-    def observe(self, endpoint: Endpoint, digest: int | None) -> None:
+    def compare_digest(self, endpoint: Endpoint, digest: int | None) -> None:
         """Start a comparison with a node whose table differs, unless one was started lately."""
         now = self._timers.now()
         if digest is None or digest == self._table.digest() or now < self._compare_after:
@@ -61,7 +61,7 @@
         digests = messages.BucketDigests(digests=self._table.bucket_digests())
         self._send("digests", endpoint, bucket_digests=digests)
 
-    def answer_digests(self, endpoint: Endpoint, packed: bytes) -> None:
+    def handle_digests(self, endpoint: Endpoint, packed: bytes) -> None:
         """Send the members of some buckets that differ, and ask for the other node's."""
         now = self._timers.now()
         differing = self._table.differing_buckets(packed)
@@ -77,7 +77,7 @@
         request = messages.BucketRequest(buckets=buckets, whole_table=False)
         self._send_members(endpoint, buckets, bucket_request=request)
 
-    def answer_request(self, endpoint: Endpoint, request: t.Any) -> None:
+    def handle_bucket_request(self, endpoint: Endpoint, request: t.Any) -> None:
         """Send the members of the buckets asked for, or fetch the whole table."""
         if request.whole_table:
             self._fetch_whole(endpoint)
@@ -100,6 +100,6 @@
     def _send_members(self, endpoint: Endpoint, buckets: t.Collection[int], **body: t.Any) -> None:
         members = self._table.in_buckets(buckets)
         self._rng.shuffle(members)
-        for batch in self._composer.batches(members, MAX_DATAGRAMS):
+        for batch in self._composer.split_into_batches(members, MAX_DATAGRAMS):
             self._send("buckets", endpoint, batch, **body)
             body = {}
--- a/src/bulrushflow/nodes/composing.py
+++ b/src/bulrushflow/nodes/composing.py
@@ -23,7 +23,7 @@
 """Room for the numbers of the buckets that go with a batch of members."""
 
 
-class Told(enum.Enum):
+class UpdateSelection(enum.Enum):
     """Which news of members a datagram carries."""
 
     ALL = enum.auto()
@@ -43,32 +43,32 @@
     return UpdatePriority.DEAD if member.status is Status.DEAD else UpdatePriority.SUSPECT
 
 
-class Composer:
+class MessageComposer:
     """Keeps the news of members and moves, and picks what fits each message."""
 
     def __init__(
         self,
         table: MemberTable,
-        shared_moves: SharedRollouts,
+        shared_rollouts: SharedRollouts,
         applied_offset: t.Callable[[], int],
     ) -> None:
         self._table = table
-        self._shared_moves = shared_moves
+        self._shared_rollouts = shared_rollouts
         self._applied_offset = applied_offset
         self._members: UpdateQueue[str] = UpdateQueue()
         self._moves: UpdateQueue[int] = UpdateQueue()
         self._seen_by_offset: dict[int, tuple[SharedRollout, int]] = {}
         self._rotation: list[int] = []
 
-    def tell(self, member: Member) -> None:
+    def enqueue(self, member: Member) -> None:
         """Pass a member's entry on with the next messages."""
         self._members.add(member.node_id, priority(member))
 
-    def drop_doubts(self) -> None:
+    def discard_suspect_and_dead(self) -> None:
         """Stop passing on that members are dead or suspected."""
         self._members.discard_from(UpdatePriority.SUSPECT)
 
-    def note_equal(self) -> None:
+    def record_equal_digest(self) -> None:
         """Note that another node's live members are the same as this one's.
 
         It knows then who lives and who leaves. Suspicions are not in the digest, and that a
@@ -77,25 +77,30 @@
         limit = transmission_limit(len(self._table.live_members()))
         self._members.count_as_sent(limit, UpdatePriority.ALIVE)
 
-    def datagram(self, extra: t.Sequence[Member], told: Told = Told.ALL, **body: t.Any) -> bytes:
+    def encode_datagram(
+        self,
+        extra: t.Sequence[Member],
+        selection: UpdateSelection = UpdateSelection.ALL,
+        **body: t.Any,
+    ) -> bytes:
         """Encode a datagram: ``extra`` members, then the news to tell that still fits."""
         budget = MAX_DATAGRAM_BYTES - len(messages.encode(messages.Datagram(**body)))
         budget -= _ENVELOPE_BYTES + len(self._table.own_id)
         budget -= sum(codec.member_size(m) for m in extra)
-        if told is Told.NOTHING:
+        if selection is UpdateSelection.NOTHING:
             return messages.encode(messages.Datagram(gossip=self._gossip(extra, ()), **body))
         moves, moves_bytes = self._take_moves() if budget >= MOVES_BYTES else ([], 0)
         limit = transmission_limit(len(self._table.live_members()))
-        only = UpdatePriority.SUSPECT if told is Told.SUSPICIONS else None
+        only = UpdatePriority.SUSPECT if selection is UpdateSelection.SUSPICIONS else None
         ids = self._members.next_batch(budget - moves_bytes, self._member_size, limit, only)
         members = [*extra, *(self._table.by_id[i] for i in ids)]
         return messages.encode(messages.Datagram(gossip=self._gossip(members, moves), **body))
 
-    def framed(self, members: t.Iterable[Member], with_moves: bool) -> t.Any:
+    def frame_gossip(self, members: t.Iterable[Member], with_moves: bool) -> t.Any:
         """Return the gossip for a framed message: the members given, and all moves if asked."""
-        return self._gossip(members, self._shared_moves.by_offset.values() if with_moves else ())
+        return self._gossip(members, self._shared_rollouts.by_offset.values() if with_moves else ())
 
-    def batches(self, members: t.Iterable[Member], count: int) -> list[list[Member]]:
+    def split_into_batches(self, members: t.Iterable[Member], count: int) -> list[list[Member]]:
         """Split members into at most ``count`` groups that each fit a datagram."""
         batches: list[list[Member]] = [[]]
         room = MAX_DATAGRAM_BYTES - 2 * _ENVELOPE_BYTES - _REQUEST_BYTES
@@ -149,7 +154,7 @@
 
     def _observe_moves(self) -> None:
         # Parts change the shared moves directly, so changes are found by comparison.
-        by_offset = self._shared_moves.by_offset
+        by_offset = self._shared_rollouts.by_offset
         for offset in [o for o in self._seen_by_offset if o not in by_offset]:
             del self._seen_by_offset[offset]
         for offset, state in by_offset.items():
--- a/src/bulrushflow/nodes/datagrams.py
+++ b/src/bulrushflow/nodes/datagrams.py
@@ -7,7 +7,7 @@
 
 from bulrushflow.wire.links import Endpoint
 
-Receive = t.Callable[[bytes, Endpoint], None]
+DatagramHandler = t.Callable[[bytes, Endpoint], None]
 
 
 class DatagramTransport(t.Protocol):
@@ -20,13 +20,13 @@
         """Close the socket."""
 
 
-OpenTransport = t.Callable[[Endpoint, Receive], t.Awaitable[DatagramTransport]]
+OpenTransport = t.Callable[[Endpoint, DatagramHandler], t.Awaitable[DatagramTransport]]
 
 
 class UdpTransport(asyncio.DatagramProtocol):
     """Sends and receives datagrams on one UDP socket."""
 
-    def __init__(self, receive: Receive) -> None:
+    def __init__(self, receive: DatagramHandler) -> None:
         self._receive = receive
         self._transport: asyncio.DatagramTransport | None = None
 
@@ -51,7 +51,7 @@
             self._transport.close()
 
 
-async def open_udp(endpoint: Endpoint, receive: Receive) -> DatagramTransport:
+async def open_udp(endpoint: Endpoint, receive: DatagramHandler) -> DatagramTransport:
     """Bind a UDP socket."""
     loop = asyncio.get_running_loop()
     _, transport = await loop.create_datagram_endpoint(
--- a/src/bulrushflow/nodes/detector.py
+++ b/src/bulrushflow/nodes/detector.py
@@ -35,14 +35,14 @@
     async def ping_indirectly(self, member: Member, timeout_s: float) -> bool:
         """Have other members probe a member; return whether one got an answer."""
 
-    def heard_since(self, instant: float) -> bool:
+    def received_since(self, instant: float) -> bool:
         """Tell whether any node was heard of since then, in seconds of the timers' clock."""
 
-    def refresh(self) -> None:
+    def probe_random_members(self) -> None:
         """Ask a few members for what they hold of this node."""
 
 
-class Detector:
+class FailureDetector:
     """Finds members that failed, and those that can be reached again."""
 
     def __init__(
@@ -67,7 +67,7 @@
 
     def start(self) -> None:
         """Begin to probe."""
-        self._timers.subscribe_stall(self._take_stall)
+        self._timers.subscribe_pause(self._take_stall)
         self._timers.subscribe("probe", self._settings.period_s, self.probe_next)
         self._timers.subscribe("suspicion", self._settings.period_s, self.expire_suspects)
         reconnect_s = RECONNECT_PERIODS * self._settings.period_s
@@ -88,9 +88,9 @@
         if await self._pinger.ping_indirectly(member, 2 * timeout_s):
             self._note_answer(began)
             return
-        if self._timers.stalled_since(began):
+        if self._timers.paused_since(began):
             return
-        if not self._pinger.heard_since(began):
+        if not self._pinger.received_since(began):
             # With others heard meanwhile, it is the probed one that is at fault.
             self._health.record_silence()
         if self._is_refreshed():
@@ -98,7 +98,7 @@
 
     async def expire_suspects(self) -> None:
         """Declare dead the members that have not refuted their suspicion in time."""
-        self._timers.check_stall()
+        self._timers.check_pause()
         if not self._is_refreshed():
             return
         now = self._timers.now()
@@ -131,7 +131,7 @@
         self._stalled_at = self._timers.now()
         self._health.record_pause()
         self._table.restart_suspicion_timeouts(self._stalled_at)
-        self._pinger.refresh()
+        self._pinger.probe_random_members()
 
     def _note_answer(self, began: float) -> None:
         if self._stalled_at is not None and began >= self._stalled_at:
--- a/src/bulrushflow/nodes/spreading.py
+++ b/src/bulrushflow/nodes/dissemination.py
@@ -22,8 +22,8 @@
 from bulrushflow.membership import rank_members
 from bulrushflow.metrics import Metrics
 from bulrushflow.nodes.log_reader import LogReader
-from bulrushflow.nodes.pulling import PullAnswer
 from bulrushflow.nodes.pulling import Puller
+from bulrushflow.nodes.pulling import PullResult
 from bulrushflow.nodes.pulling import PullServer
 from bulrushflow.nodes.push_tree import children
 from bulrushflow.nodes.push_tree import parent
@@ -61,7 +61,7 @@
     raise error
 
 
-class Spreading(Service):
+class RecordDissemination(Service):
     """Keeps the store up to date from the log or from peers.
 
     :param now: seconds on a monotonic clock.
@@ -78,7 +78,7 @@
         settings: PlatformSettings,
         rng: random.Random,
         metrics: Metrics | None = None,
-        on_broken: OnBroken = _raise,
+        on_invariant_error: OnBroken = _raise,
         now: t.Callable[[], float] | None = None,
     ) -> None:
         super().__init__()
@@ -88,7 +88,7 @@
         self._timers = timers
         self._rng = rng
         self._metrics = metrics
-        self._on_broken = on_broken
+        self._on_broken = on_invariant_error
         self._now = now or asyncio.get_running_loop().time
         self._freshness = Freshness(self._now())
         self._reader = LogReader(self, store, log, settings, rng)
@@ -115,7 +115,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def on_start(self) -> None:
-        self._links.handle("records_request", self._server.answer)
+        self._links.handle("records_request", self._server.serve)
         self._links.handle("records_push", self._take_push)
         self._timers.subscribe("spreading", TICK_S, self._tick)
 
@@ -136,11 +136,11 @@
         """Tell whether this node reads the log for its data centre."""
         return self._table.own_id in self._reader_ids()
 
-    def peer_ahead(self, endpoint: Endpoint, offset: int) -> None:
+    def note_peer_offset(self, endpoint: Endpoint, offset: int) -> None:
         """Pull what is missing from a node that is known to hold a later version."""
         self._freshness.record_advertised_offset(offset, self._now())
-        if self._puller.want(endpoint, offset):
-            self.add_future(self._puller.follow())
+        if self._puller.set_goal(endpoint, offset):
+            self.add_future(self._puller.pull_to_goal())
 
     def is_checking(self) -> bool:
         """See :meth:`LogReaderOwner.is_checking`."""
@@ -158,15 +158,15 @@
             self._on_broken(error)
             raise
 
-    def take_page(self, page: LogPage, generation: int) -> None:
-        """See :meth:`LogReaderOwner.take_page`."""
+    def handle_page(self, page: LogPage, generation: int) -> None:
+        """See :meth:`LogReaderOwner.handle_page`."""
         self._freshness.record_log_offset(generation, page.next_offset - 1)
         self._decide()
         if page.records:
             self._push_own(page.records)
 
-    def log_behind(self, next_offset: int) -> None:
-        """See :meth:`LogReaderOwner.log_behind`."""
+    def handle_log_behind(self, next_offset: int) -> None:
+        """See :meth:`LogReaderOwner.handle_log_behind`."""
         logger.error(
             "the log ends at offset {}, below version {}, which stays in force",
             next_offset - 1,
@@ -251,9 +251,9 @@
         generation = self._freshness.generation
         try:
             for near in (True, False) if checking else (False,):
-                member = self._puller.pick(near)
+                member = self._puller.pick_peer(near)
                 if member is not None:
-                    await self._puller.ask(member.endpoint)
+                    await self._puller.pull(member.endpoint)
         finally:
             self._asking = False
         if self._table.live_peers():
@@ -261,17 +261,17 @@
         self._ask_wait_s = min(MAX_ASK_S, 2 * self._ask_wait_s) if checking else REMOTE_POLL_S
         self._ask_at = self._now() + self._rng.uniform(0, self._ask_wait_s)
 
-    def _take_answer(self, answer: PullAnswer) -> None:
+    def _take_answer(self, answer: PullResult) -> None:
         member = next((m for m in self._table.live_peers() if m.endpoint == answer.endpoint), None)
         if member is not None:
             self._note_answer(Peer(member.node_id, member.data_centre), answer)
         self._decide()
-        self._count_bytes("received", answer.size)
-        if answer.count > 0 and self.is_reader():
-            first_new = self.store.current.offset - answer.count + 1
+        self._count_bytes("received", answer.received_bytes)
+        if answer.new_records > 0 and self.is_reader():
+            first_new = self.store.current.offset - answer.new_records + 1
             self._push_own(self.store.records_from(first_new) or ())
 
-    def _note_answer(self, peer: Peer, answer: PullAnswer) -> None:
+    def _note_answer(self, peer: Peer, answer: PullResult) -> None:
         generation = answer.generation
         if answer.fresh:
             self._freshness.record_fresh_peer(generation, peer, answer.offset, answer.reads_log)
@@ -309,7 +309,7 @@
         if push.offset > self.store.current.offset:
             sender = parent(self._near(), push.root, self._table.own_id)
             if sender is not None:
-                self.peer_ahead(sender.endpoint, push.offset)
+                self.note_peer_offset(sender.endpoint, push.offset)
         self._pass_on(push)
 
     def _pass_on(self, push: t.Any) -> None:
--- a/src/bulrushflow/nodes/evidence_freshness.py
+++ b/src/bulrushflow/nodes/evidence_freshness.py
@@ -4,7 +4,7 @@
 from bulrushflow.membership import MemberTable
 from bulrushflow.rollouts import EvidenceStore
 
-FRESH_S = 4.0
+MAX_EVIDENCE_AGE_S = 4.0
 """Age up to which a node's last report counts as fresh, on this node's monotonic clock."""
 PAUSE_S = 1.5
 """Gap between two ticks that shows that this process was paused."""
@@ -23,13 +23,13 @@
         self._ticked_at: float | None = None
         self._trusted_after = float("-inf")
 
-    def tick(self, now_s: float) -> None:
+    def detect_pause(self, now_s: float) -> None:
         """Note the time of a tick, to find pauses."""
         if self._ticked_at is not None and now_s - self._ticked_at > PAUSE_S:
             self._trusted_after = now_s + SETTLE_S
         self._ticked_at = now_s
 
-    def missing(self, move: Rollout, now_s: float) -> str:
+    def describe_missing(self, move: Rollout, now_s: float) -> str:
         """Return whose report is missing for a go-ahead; empty when none is.
 
         Every ready target of the new version and at least half of the old version's must have
@@ -52,4 +52,4 @@
         heard_at = self._book.last_report_at(move.offset, node_id)
         if heard_at is None or heard_at <= self._trusted_after:
             return False
-        return now_s - heard_at <= FRESH_S
+        return now_s - heard_at <= MAX_EVIDENCE_AGE_S
--- a/src/bulrushflow/nodes/reporting.py
+++ b/src/bulrushflow/nodes/evidence_reporting.py
@@ -16,12 +16,12 @@
 MAX_RECEIVERS = 8
 MIN_RECEIVERS = 3
 """Receivers that are kept however large a report is: the driver and those after it in line."""
-REPORT_S = 0.5
-MAX_REPORT_S = 1.5
+MIN_REPORT_PERIOD_S = 0.5
+MAX_REPORT_PERIOD_S = 1.5
 """Longest period while there are receivers to leave out."""
-LARGE_REPORT_S = 3.0
+MAX_LARGE_REPORT_PERIOD_S = 3.0
 """Longest period at all; evidence has to stay fresh enough for the driver."""
-UNCHANGED_REPORT_S = 1.5
+UNCHANGED_REPORT_PERIOD_S = 1.5
 """Time after which a report is repeated although nothing changed, to show that the node lives."""
 BUDGET_BYTES_PER_S = 4096
 
@@ -42,16 +42,16 @@
     A longer period is tried before fewer receivers, and the longest one after that.
     """
     period_s = report_bytes * MAX_RECEIVERS / BUDGET_BYTES_PER_S
-    if period_s <= MAX_REPORT_S:
-        return max(REPORT_S, period_s), MAX_RECEIVERS
-    receivers = int(BUDGET_BYTES_PER_S * MAX_REPORT_S / report_bytes)
+    if period_s <= MAX_REPORT_PERIOD_S:
+        return max(MIN_REPORT_PERIOD_S, period_s), MAX_RECEIVERS
+    receivers = int(BUDGET_BYTES_PER_S * MAX_REPORT_PERIOD_S / report_bytes)
     if receivers >= MIN_RECEIVERS:
-        return MAX_REPORT_S, receivers
+        return MAX_REPORT_PERIOD_S, receivers
     period_s = report_bytes * MIN_RECEIVERS / BUDGET_BYTES_PER_S
-    return min(LARGE_REPORT_S, period_s), MIN_RECEIVERS
+    return min(MAX_LARGE_REPORT_PERIOD_S, period_s), MIN_RECEIVERS
 
 
-class Reporting:
+class EvidenceReporter:
     """Sends this node's evidence to the first nodes of a move's group and takes in theirs.
 
     The receivers are ranked as drivers are, so every candidate for driving has the evidence.
@@ -72,13 +72,13 @@
         self._sent_by_move: dict[int, tuple[int, float]] = {}
         self._sends_by_id: dict[str, asyncio.Task[None]] = {}
 
-    def report(self, move: Rollout, group: list[Member], now_s: float) -> None:
+    def send_if_due(self, move: Rollout, group: list[Member], now_s: float) -> None:
         """Send the evidence on a move if it is due; doesn't wait for any receiver."""
         own = self._book.local(move.offset)
         sequence, sent_at = self._sent_by_move.get(move.offset, (-1, float("-inf")))
-        if now_s - sent_at < REPORT_S:
+        if now_s - sent_at < MIN_REPORT_PERIOD_S:
             return
-        if own.sequence == sequence and now_s - sent_at < UNCHANGED_REPORT_S:
+        if own.sequence == sequence and now_s - sent_at < UNCHANGED_REPORT_PERIOD_S:
             return
         report = codec.evidence_to_message(own)
         size = len(messages.encode(report))
@@ -90,13 +90,13 @@
             if member.node_id != self._own_id:
                 self._send(member, report, size)
 
-    def keep_only(self, moves: t.Collection[int]) -> None:
+    def retain(self, moves: t.Collection[int]) -> None:
         """Forget finished moves."""
         for move in list(self._sent_by_move):
             if move not in moves:
                 del self._sent_by_move[move]
 
-    def take(self, message: t.Any, now_s: float) -> None:
+    def merge_report(self, message: t.Any, now_s: float) -> None:
         """Take in another node's report."""
         try:
             evidence = codec.evidence_from_message(message)
--- a/src/bulrushflow/nodes/exchange.py
+++ b/src/bulrushflow/nodes/exchange.py
@@ -9,7 +9,7 @@
 
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
-from bulrushflow.nodes.composing import Composer
+from bulrushflow.nodes.composing import MessageComposer
 from bulrushflow.wire import codec
 from bulrushflow.wire import messages
 from bulrushflow.wire.links import Endpoint
@@ -37,7 +37,7 @@
         self._left = float(BURST_BYTES)
         self._refilled_at: float | None = None
 
-    def take(self, count: int, now: float) -> bool:
+    def try_consume(self, count: int, now: float) -> bool:
         """Take bytes for one page; ``False`` when there are too few."""
         if self._refilled_at is not None:
             earned = (now - self._refilled_at) * REFILL_BYTES_PER_S
@@ -59,7 +59,7 @@
         self,
         table: MemberTable,
         links: Links,
-        composer: Composer,
+        composer: MessageComposer,
         rng: random.Random,
         merge: Merge,
     ) -> None:
@@ -89,7 +89,7 @@
                 self._fetching = False
         return True
 
-    async def answer(self, request: t.Any) -> dict[str, t.Any]:
+    async def serve(self, request: t.Any) -> dict[str, t.Any]:
         """Serve one page, or name a few members to ask instead."""
         self._merge(request.gossip, None, True)
         overruling = self._overruling(request.gossip)
@@ -98,7 +98,7 @@
             return self._page(overruling, True)
         members = self._members_after(after)
         size = sum(codec.member_size(m) for m in members)
-        if not self._budget.take(size, asyncio.get_running_loop().time()):
+        if not self._budget.try_consume(size, asyncio.get_running_loop().time()):
             others = self._table.live_peers()
             referrals = self._rng.sample(others, min(REFERRALS, len(others)))
             return self._page([*overruling, *referrals], not after, busy=True)
@@ -106,7 +106,7 @@
         return self._page([*overruling, *members], not after, next_after=next_after)
 
     def _page(self, members: list[Member], with_moves: bool, **fields: t.Any) -> dict[str, t.Any]:
-        gossip = self._composer.framed(members, with_moves)
+        gossip = self._composer.frame_gossip(members, with_moves)
         return {"members": messages.Members(gossip=gossip, **fields)}
 
     def _overruling(self, gossip: t.Any) -> list[Member]:
@@ -168,7 +168,7 @@
 
     async def _fetch(self, endpoint: Endpoint, after: str) -> t.Any:
         request = messages.MembersRequest(
-            gossip=self._composer.framed([self._table.own], False), after=after
+            gossip=self._composer.frame_gossip([self._table.own], False), after=after
         )
         result = await self._links.exchange(endpoint, PAGE_TIMEOUT_S, members_request=request)
         match result:
--- a/src/bulrushflow/nodes/forwarding.py
+++ b/src/bulrushflow/nodes/forwarding.py
@@ -16,8 +16,8 @@
 from bulrushflow.wire import codec
 from bulrushflow.wire.links import Links
 
-ANSWER_MARGIN_SHARE = 0.1
-MAX_ANSWER_MARGIN_S = 0.02
+RESPONSE_MARGIN_FRACTION = 0.1
+MAX_RESPONSE_MARGIN_S = 0.02
 """The gatekeeper's deadline is earlier by up to so much, so that its verdict arrives in time."""
 
 
@@ -57,7 +57,7 @@
         left_s = call.deadline - asyncio.get_running_loop().time()
         if left_s <= 0:
             return refused("no time left"), None
-        margin_s = min(MAX_ANSWER_MARGIN_S, left_s * ANSWER_MARGIN_SHARE)
+        margin_s = min(MAX_RESPONSE_MARGIN_S, left_s * RESPONSE_MARGIN_FRACTION)
         request = codec.call_to_message(call, left_s - margin_s)
         match await self._links.exchange(member.endpoint, left_s, call_request=request):
             case Err(error):
--- a/src/bulrushflow/nodes/gossip.py
+++ b/src/bulrushflow/nodes/gossip.py
@@ -13,17 +13,17 @@
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Status
 from bulrushflow.membership import UpdatePriority
-from bulrushflow.nodes.composing import Composer
-from bulrushflow.nodes.composing import Told
+from bulrushflow.nodes.anti_entropy import AntiEntropy
+from bulrushflow.nodes.composing import MessageComposer
+from bulrushflow.nodes.composing import UpdateSelection
 from bulrushflow.nodes.composing import priority
 from bulrushflow.nodes.datagrams import DatagramTransport
 from bulrushflow.nodes.datagrams import OpenTransport
 from bulrushflow.nodes.datagrams import open_udp
-from bulrushflow.nodes.detector import Detector
+from bulrushflow.nodes.detector import FailureDetector
 from bulrushflow.nodes.exchange import MemberExchange
 from bulrushflow.nodes.probing import Ack
-from bulrushflow.nodes.probing import Probes
-from bulrushflow.nodes.synchronizing import Synchronizer
+from bulrushflow.nodes.probing import Prober
 from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.settings import GossipSettings
 from bulrushflow.timers import Timers
@@ -53,7 +53,7 @@
     def __init__(
         self,
         table: MemberTable,
-        shared_moves: SharedRollouts,
+        shared_rollouts: SharedRollouts,
         links: Links,
         timers: Timers,
         settings: GossipSettings,
@@ -68,7 +68,7 @@
         self.highest_seen_offset = -1
         self.bytes_sent = 0
         self.bytes_received = 0
-        self._shared_moves = shared_moves
+        self._shared_rollouts = shared_rollouts
         self._links = links
         self._timers = timers
         self._settings = settings
@@ -82,17 +82,17 @@
         self._heard_at = float("-inf")
         self._spread_at = float("-inf")
         self._spread_timer: asyncio.TimerHandle | None = None
-        self._probes = Probes(self._send, settings.ack_timeout_s)
-        self._composer = Composer(table, shared_moves, applied_offset)
+        self._probes = Prober(self._send, settings.ack_timeout_s)
+        self._composer = MessageComposer(table, shared_rollouts, applied_offset)
         self._exchange = MemberExchange(table, links, self._composer, rng, self._merge)
-        self._detector = Detector(table, timers, settings, rng, self, self._changed)
-        self._synchronizer = Synchronizer(
+        self._detector = FailureDetector(table, timers, settings, rng, self, self._changed)
+        self._synchronizer = AntiEntropy(
             table, self._composer, timers, settings.period_s, rng, self._send, self._fetch_whole
         )
 
     async def on_start(self) -> None:
         self._transport = await self._open_transport(self.table.own.endpoint, self._receive)
-        self._links.handle("members_request", self._exchange.answer)
+        self._links.handle("members_request", self._exchange.serve)
         self._detector.start()
 
     async def on_stop(self) -> None:
@@ -108,11 +108,11 @@
 
     def announce_own(self, **changes: t.Any) -> None:
         """Change this node's own entry and tell a few nodes at once."""
-        self._composer.tell(self.table.update_own(**changes))
+        self._composer.enqueue(self.table.update_own(**changes))
         self._members_changed()
-        self.spread_now()
+        self.disseminate_now()
 
-    def spread_now(self) -> None:
+    def disseminate_now(self) -> None:
         """Tell a few nodes now instead of with the next probe."""
         self._spread_at = self._timers.now()
         for member in self._draw(FANOUT):
@@ -143,12 +143,12 @@
         helpers = self._draw(FANOUT, without=member.node_id)
         return await self._probes.ping_indirectly(member, helpers, timeout_s)
 
-    def heard_since(self, instant: float) -> bool:
-        """See :meth:`Pinger.heard_since`."""
+    def received_since(self, instant: float) -> bool:
+        """See :meth:`Pinger.received_since`."""
         return self._heard_at >= instant
 
-    def refresh(self) -> None:
-        """See :meth:`Pinger.refresh`."""
+    def probe_random_members(self) -> None:
+        """See :meth:`Pinger.probe_random_members`."""
         for member in self._draw(FANOUT):
             self._probes.send_ping(member)
 
@@ -169,10 +169,10 @@
         overruling = self._overruling(datagram.gossip, sender)
         equal = datagram.gossip.digest == self.table.digest()
         if equal:
-            self._composer.note_equal()
+            self._composer.record_equal_digest()
         if datagram.ping is not None and datagram.ping.sequence:
             ack = messages.Ack(sequence=datagram.ping.sequence)
-            told = Told.SUSPICIONS if equal else Told.ALL
+            told = UpdateSelection.SUSPICIONS if equal else UpdateSelection.ALL
             self._send("ack", sender, overruling, told, ack=ack)
         elif overruling:
             self._send("spread", sender, overruling)
@@ -181,16 +181,16 @@
         if datagram.ping_request is not None and self._probes.may_relay():
             self.add_future(self._probes.relay(datagram.ping_request, sender))
         if datagram.bucket_digests is not None:
-            self._synchronizer.answer_digests(
+            self._synchronizer.handle_digests(
                 sender, codec.digests_from_message(datagram.bucket_digests)
             )
         if datagram.bucket_request is not None:
-            self._synchronizer.answer_request(sender, datagram.bucket_request)
+            self._synchronizer.handle_bucket_request(sender, datagram.bucket_request)
 
     def _take_ack(self, datagram: t.Any, sender: Endpoint) -> None:
         gossip = datagram.gossip
-        self._probes.take(datagram.ack.sequence, Ack(gossip.sender, gossip.offset))
-        self._synchronizer.observe(sender, gossip.digest)
+        self._probes.handle_ack(datagram.ack.sequence, Ack(gossip.sender, gossip.offset))
+        self._synchronizer.compare_digest(sender, gossip.digest)
 
     def _overruling(self, gossip: t.Any, sender: Endpoint) -> tuple[Member, ...]:
         """Return what the sender of a datagram has to refute to be taken for alive."""
@@ -212,7 +212,7 @@
         changed = False
         reconnected = self._is_held_dead(gossip)
         if reconnected:
-            self._composer.drop_doubts()
+            self._composer.discard_suspect_and_dead()
         for message in gossip.members or ():
             try:
                 claim = codec.member_from_message(message)
@@ -226,7 +226,7 @@
         if changed:
             self._members_changed()
         for message in gossip.moves or ():
-            if self._shared_moves.merge(codec.move_from_message(message)):
+            if self._shared_rollouts.merge(codec.move_from_message(message)):
                 self._spread_soon()
         self.highest_seen_offset = max(self.highest_seen_offset, gossip.offset)
         if sender is not None and gossip.offset > self._applied_offset():
@@ -248,15 +248,15 @@
             return False
         held = self.table.by_id[claim.node_id]
         if before is not None and before.status is Status.DEAD and held.is_live:
-            self._composer.drop_doubts()
+            self._composer.discard_suspect_and_dead()
         if held.node_id == self.table.own_id:
             logger.info("refuted that this node is {}", claim.status.name.lower())
-            self._composer.tell(held)
+            self._composer.enqueue(held)
             if sender is not None:
                 self._send("spread", sender, (held,))
             self._spread_soon()
         elif is_news:
-            self._composer.tell(held)
+            self._composer.enqueue(held)
             if priority(held) is UpdatePriority.URGENT:
                 self._spread_soon()
         return True
@@ -272,7 +272,7 @@
         )
 
     def _changed(self, claim: Member) -> None:
-        self._composer.tell(claim)
+        self._composer.enqueue(claim)
         self._members_changed()
         if claim.status is Status.SUSPECT:
             # Told first, the suspected one may refute before the others have heard.
@@ -292,13 +292,13 @@
             return
         wait_s = self._spread_at + SPREAD_S - self._timers.now()
         if wait_s <= 0:
-            self.spread_now()
+            self.disseminate_now()
             return
         self._spread_timer = asyncio.get_running_loop().call_later(wait_s, self._spread_later)
 
     def _spread_later(self) -> None:
         self._spread_timer = None
-        self.spread_now()
+        self.disseminate_now()
 
     def _draw(self, count: int, without: str = "") -> list[Member]:
         others = self.table.live_peers()
@@ -310,15 +310,15 @@
         kind: str,
         endpoint: Endpoint,
         extra: t.Sequence[Member] = (),
-        told: Told = Told.ALL,
+        told: UpdateSelection = UpdateSelection.ALL,
         **body: t.Any,
     ) -> None:
         if self._transport is None:
             return
         # What is told to a member held dead would reach the other side of a partition.
         if any(m.status is Status.DEAD and m.endpoint == endpoint for m in extra):
-            told = Told.NOTHING
-        data = self._composer.datagram(extra, told, **body)
+            told = UpdateSelection.NOTHING
+        data = self._composer.encode_datagram(extra, told, **body)
         self.bytes_sent += len(data)
         self._count("sent", kind, len(data))
         self._transport.sendto(data, endpoint)
--- a/src/bulrushflow/nodes/log_reader.py
+++ b/src/bulrushflow/nodes/log_reader.py
@@ -15,7 +15,7 @@
 from bulrushflow.recording import LogError
 from bulrushflow.recording import LogErrorKind
 from bulrushflow.recording import LogPage
-from bulrushflow.recording import recover
+from bulrushflow.recording import recover_from_snapshot
 from bulrushflow.settings import PlatformSettings
 
 FIRST_BACKOFF_S = 0.1
@@ -38,10 +38,10 @@
     def apply(self, records: t.Iterable[LogRecord]) -> int:
         """Apply records; return how many were new."""
 
-    def take_page(self, page: LogPage, generation: int) -> None:
+    def handle_page(self, page: LogPage, generation: int) -> None:
         """Take note of a page, whose records have been applied."""
 
-    def log_behind(self, next_offset: int) -> None:
+    def handle_log_behind(self, next_offset: int) -> None:
         """Take note that the log ends below the version held."""
 
 
@@ -96,7 +96,7 @@
     async def _take(self, page: LogPage, generation: int) -> None:
         held = self._store.current.offset
         if page.next_offset <= held:
-            self._owner.log_behind(page.next_offset)
+            self._owner.handle_log_behind(page.next_offset)
         far = FAR_BEHIND_FACTOR * self._settings.snapshot_every_records
         if page.next_offset - held > far and not self._tried_recovery:
             self._tried_recovery = True
@@ -106,7 +106,7 @@
         self._owner.apply(page.records)
         if page.records:
             self._cursor = page.records[-1].offset + 1
-        self._owner.take_page(page, generation)
+        self._owner.handle_page(page, generation)
         held = self._store.current.offset
         if page.records and page.records[0].offset > held and not self._store.unsupported:
             await self._back_off(f"offset {held + 1} is missing before {page.records[0].offset}")
@@ -127,7 +127,7 @@
     async def _recover(self, first_offset: int) -> bool:
         held = self._store.current.offset
         span = 2 * self._settings.snapshot_every_records
-        match await recover(self._log, held, first_offset, span):
+        match await recover_from_snapshot(self._log, held, first_offset, span):
             case Err(reason):
                 logger.error("no recovery from a snapshot: {}", reason)
                 return False
--- a/src/bulrushflow/nodes/probing.py
+++ b/src/bulrushflow/nodes/probing.py
@@ -7,7 +7,7 @@
 
 from bulrushflow.membership import Member
 from bulrushflow.membership import Status
-from bulrushflow.nodes.synchronizing import Sender
+from bulrushflow.nodes.anti_entropy import SendDatagram
 from bulrushflow.wire import messages
 from bulrushflow.wire.links import Endpoint
 
@@ -23,10 +23,10 @@
     offset: int
 
 
-class Probes:
+class Prober:
     """Sends probes and waits for their acks."""
 
-    def __init__(self, send: Sender, relay_timeout_s: float) -> None:
+    def __init__(self, send: SendDatagram, relay_timeout_s: float) -> None:
         self._send = send
         self._relay_timeout_s = relay_timeout_s
         self._sequences = itertools.count(1)
@@ -83,7 +83,7 @@
         if ack is not None and request.node_id in (None, ack.node_id):
             self._send("ack", sender, ack=messages.Ack(sequence=request.sequence))
 
-    def take(self, sequence: int, ack: Ack) -> None:
+    def handle_ack(self, sequence: int, ack: Ack) -> None:
         """Match an ack with its probe; one that comes late is dropped."""
         future = self._acks_by_sequence.get(sequence)
         if future is not None and not future.done():
--- a/src/bulrushflow/nodes/pulling.py
+++ b/src/bulrushflow/nodes/pulling.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PullAnswer:
+class PullResult:
     """What a peer said of itself, and how many of its records were new.
 
     ``generation`` is that of the check in progress when the peer was asked.
@@ -48,8 +48,8 @@
     fresh: bool
     reads_log: bool
     was_fresh: bool
-    count: int
-    size: int
+    new_records: int
+    received_bytes: int
     """Bytes of the records or of the state received."""
 
 
@@ -68,7 +68,7 @@
         links: Links,
         rng: random.Random,
         apply: Apply,
-        on_answer: t.Callable[[PullAnswer], None],
+        on_answer: t.Callable[[PullResult], None],
         generation: t.Callable[[], int],
     ) -> None:
         self._generation = generation
@@ -83,7 +83,7 @@
         self._wanted = -1
         self._source: Endpoint | None = None
 
-    def want(self, endpoint: Endpoint, offset: int) -> bool:
+    def set_goal(self, endpoint: Endpoint, offset: int) -> bool:
         """Note that a peer holds a later version; return whether :meth:`follow` should be run."""
         if offset <= self._store.current.offset or self._store.unsupported:
             return False
@@ -91,7 +91,7 @@
         self._source = endpoint
         return not self._following
 
-    async def follow(self) -> None:
+    async def pull_to_goal(self) -> None:
         """Pull until the wanted version is held, or given up."""
         if self._following:
             return
@@ -102,7 +102,7 @@
         finally:
             self._following = False
 
-    async def ask(self, endpoint: Endpoint) -> Result[PullAnswer, str]:
+    async def pull(self, endpoint: Endpoint) -> Result[PullResult, str]:
         """Ask one peer for the records after the version held, and apply them."""
         async with self._asking:
             generation = self._generation()
@@ -126,7 +126,7 @@
             held = self._store.current.offset
             # A node of an earlier release does not state its version.
             offset = held if message.offset is None else message.offset
-            answer = PullAnswer(
+            answer = PullResult(
                 endpoint,
                 generation,
                 offset,
@@ -139,7 +139,7 @@
         self._on_answer(answer)
         return Ok(answer)
 
-    def pick(self, near: bool) -> Member | None:
+    def pick_peer(self, near: bool) -> Member | None:
         """Return a random other node, inside this data centre or outside of it if there is one."""
         own = self._table.own
         others = self._table.live_peers()
@@ -152,12 +152,12 @@
         while self._store.current.offset < self._wanted and not self._store.unsupported:
             endpoint, self._source = self._source, None
             if endpoint is None:
-                member = self.pick(self._rng.random() < NEAR_SHARE)
+                member = self.pick_peer(self._rng.random() < NEAR_SHARE)
                 if member is None:
                     return
                 endpoint = member.endpoint
-            match await self.ask(endpoint):
-                case Ok(answer) if answer.count > 0:
+            match await self.pull(endpoint):
+                case Ok(answer) if answer.new_records > 0:
                     failures = 0
                     self._source = endpoint
                     continue
@@ -188,7 +188,7 @@
         was_fresh: t.Callable[[], bool],
         on_sent: t.Callable[[int], None],
     ) -> None:
-        self.refused = 0
+        self.refused_pulls = 0
         self._on_sent = on_sent
         self._store = store
         self._now = now
@@ -198,7 +198,7 @@
         self._tokens = float(SERVED_BURST_BYTES)
         self._refilled_at = now()
 
-    async def answer(self, request: t.Any) -> dict[str, t.Any]:
+    async def serve(self, request: t.Any) -> dict[str, t.Any]:
         """Return a page of records, or the whole state where some are no longer held."""
         own = {
             "offset": self._store.current.offset,
@@ -208,7 +208,7 @@
         }
         self._refill()
         if self._tokens <= 0:
-            self.refused += 1
+            self.refused_pulls += 1
             return {"records": messages.Records(records=[], busy=True, **own)}
         records = self._store.records_from(request.from_offset)
         if records is None:
--- a/src/bulrushflow/nodes/driving.py
+++ b/src/bulrushflow/nodes/rollout_driver.py
@@ -17,10 +17,10 @@
 from bulrushflow.membership import TargetState
 from bulrushflow.membership import rank_members
 from bulrushflow.nodes.evidence_freshness import EvidenceFreshness
-from bulrushflow.nodes.move_records import MoveRecords
-from bulrushflow.nodes.move_records import Submitter
-from bulrushflow.nodes.reporting import CountBytes
-from bulrushflow.nodes.reporting import Reporting
+from bulrushflow.nodes.evidence_reporting import CountBytes
+from bulrushflow.nodes.evidence_reporting import EvidenceReporter
+from bulrushflow.nodes.rollout_records import RolloutRecords
+from bulrushflow.nodes.rollout_records import Submitter
 from bulrushflow.rollouts import AnalysisOutcome
 from bulrushflow.rollouts import AnalysisResult
 from bulrushflow.rollouts import EvidenceStore
@@ -46,10 +46,10 @@
 """Age up to which the decision that a move is done may still be recorded."""
 
 
-class Spreader(t.Protocol):
+class UpdateDisseminator(t.Protocol):
     """What tells other nodes of changed state."""
 
-    def spread_now(self) -> None:
+    def disseminate_now(self) -> None:
         """Tell a few nodes now."""
 
 
@@ -77,27 +77,27 @@
         self,
         store: ConfigurationStore,
         table: MemberTable,
-        shared_moves: SharedRollouts,
+        shared_rollouts: SharedRollouts,
         links: EvidenceLinks,
-        gossip: Spreader,
+        gossip: UpdateDisseminator,
         recorder: Submitter,
         timers: TimerService,
         clock: Clock,
         rng: random.Random,
         count_bytes: CountBytes = lambda direction, kind, count: None,
     ) -> None:
-        self.book = EvidenceStore(table.own_id, table.own.incarnation)
-        self.reporting = Reporting(self.book, table.own_id, links, count_bytes)
+        self.evidence_store = EvidenceStore(table.own_id, table.own.incarnation)
+        self.reporting = EvidenceReporter(self.evidence_store, table.own_id, links, count_bytes)
         self._store = store
         self._table = table
-        self._shared_moves = shared_moves
+        self._shared_rollouts = shared_rollouts
         self._gossip = gossip
-        self._records = MoveRecords(recorder, table.own_id)
+        self._records = RolloutRecords(recorder, table.own_id)
         self._clock = clock
         self._rng = rng
         self._gate = VersionFilter()
         self._warm_up = WarmUp()
-        self._freshness = EvidenceFreshness(self.book, table)
+        self._freshness = EvidenceFreshness(self.evidence_store, table)
         self._controllers_by_move: dict[int, RolloutController] = {}
         self._taken_back_seen_at: dict[int, float] = {}
         self._done_decided_at: dict[int, float] = {}
@@ -112,19 +112,19 @@
         warming = self._warm_up.count_call(self._clock.monotonic())
         move = self._gate.active_rollout_by_service.get(call.service)
         if move is not None:
-            own = self.book.local(move.offset)
+            own = self.evidence_store.local(move.offset)
             own.observe(call.version, call.route, failed, seconds, warming)
 
     def is_forbidden(self, service: str, version: str) -> bool:
         """Tell whether a version may get no new calls on this node's target."""
         return self._gate.is_forbidden(
-            service, version, self._shared_moves.is_rolled_back, self._clock.monotonic()
+            service, version, self._shared_rollouts.is_rolled_back, self._clock.monotonic()
         )
 
     async def tick(self) -> None:
         """Judge, report and pace the move of the own target's service, if there is one."""
         now_s = self._clock.monotonic()
-        self._freshness.tick(now_s)
+        self._freshness.detect_pause(now_s)
         self._follow_own_target()
         target = self._table.own.target
         move = self._gate.active_rollout_by_service.get(target.service) if target else None
@@ -135,17 +135,17 @@
             # This node is leaving.
             return
         self._decide(move, group, now_s)
-        self.reporting.report(move, group, now_s)
+        self.reporting.send_if_due(move, group, now_s)
 
     async def _take_evidence(self, message: t.Any) -> None:
-        self.reporting.take(message, self._clock.monotonic())
+        self.reporting.merge_report(message, self._clock.monotonic())
 
     def _follow_own_target(self) -> None:
         target = self._table.own.target
         ready = target is not None and target.state is TargetState.READY
         self._warm_up.set_version(target.version if target is not None and ready else None)
 
-    def possible_writers(self) -> int:
+    def potential_writer_count(self) -> int:
         """Return how many live nodes may have records of a move to append now."""
         moving = self._gate.active_rollout_by_service.keys()
         targets = (member.target for member in self._table.live_members())
@@ -168,10 +168,10 @@
 
     def _decide(self, move: Rollout, group: list[Member], now_s: float) -> None:
         controller = self._controller(move, now_s)
-        share = self._shared_moves.share_permille(move.offset)
-        verdict = controller.update_analysis(self.book.totals(move.offset), share, now_s)
+        share = self._shared_rollouts.share_permille(move.offset)
+        verdict = controller.update_analysis(self.evidence_store.totals(move.offset), share, now_s)
         ranked = [m.node_id for m in rank_members(group, f"move/{move.offset}")]
-        if self._shared_moves.is_rolled_back(move.offset):
+        if self._shared_rollouts.is_rolled_back(move.offset):
             self._record_taken_back(move, ranked, now_s)
             return
         if verdict.outcome is AnalysisOutcome.FAULTY:
@@ -191,7 +191,7 @@
             return StepDecision(
                 share, f"no ready target of version {move.to_version}", at_risk=True
             )
-        missing = self._freshness.missing(move, now_s)
+        missing = self._freshness.describe_missing(move, now_s)
         if missing:
             held_since = self._held_since.setdefault(move.offset, now_s)
             at_risk = now_s - held_since >= HELD_AT_RISK_S
@@ -206,22 +206,22 @@
             self._take_back(move, f"{pace.rule} ({verdict.evidence})")
             return
         if pace.at_risk:
-            self._records.at_risk(move, share, pace.rule, verdict.evidence)
+            self._records.record_at_risk(move, share, pace.rule, verdict.evidence)
         if pace.completed:
             self._done_decided_at[move.offset] = now_s
-            self._records.done(
+            self._records.record_completion(
                 move, pace.rule, verdict.evidence, lambda: self._is_done_current(move.offset)
             )
         if pace.share_permille <= share:
             return
         logger.info("move {} goes to {}%", move.move_id, pace.share_permille / 10)
-        self._shared_moves.merge(SharedRollout(move.offset, pace.share_permille))
-        self._gossip.spread_now()
-        self._records.step(move, pace.share_permille, pace.rule, verdict.evidence)
+        self._shared_rollouts.merge(SharedRollout(move.offset, pace.share_permille))
+        self._gossip.disseminate_now()
+        self._records.record_step(move, pace.share_permille, pace.rule, verdict.evidence)
 
     def _is_done_current(self, offset: int) -> bool:
         # With the log down, a fault may show after the decision; a stale one must not win then.
-        if self._shared_moves.is_rolled_back(offset):
+        if self._shared_rollouts.is_rolled_back(offset):
             return False
         decided_at = self._done_decided_at.get(offset)
         return decided_at is not None and self._clock.monotonic() - decided_at < DONE_VALID_S
@@ -230,10 +230,10 @@
         # The reason goes into datagrams, and a route's name may be long.
         reason = reason[:MAX_REASON_CHARS]
         logger.warning("move {} is taken back: {}", move.move_id, reason)
-        share = self._shared_moves.share_permille(move.offset)
+        share = self._shared_rollouts.share_permille(move.offset)
         own_id = self._table.own_id
-        self._shared_moves.merge(SharedRollout(move.offset, share, True, reason, own_id))
-        self._gossip.spread_now()
+        self._shared_rollouts.merge(SharedRollout(move.offset, share, True, reason, own_id))
+        self._gossip.disseminate_now()
 
     def _record_taken_back(self, move: Rollout, ranked: list[str], now_s: float) -> None:
         seen_at = self._taken_back_seen_at.get(move.offset)
@@ -243,15 +243,15 @@
             self._taken_back_seen_at[move.offset] = seen_at
         if self._table.own_id not in ranked[:RECORDERS] and now_s - seen_at < RECORD_PATIENCE_S:
             return
-        self._records.taken_back(move, self._shared_moves.by_offset[move.offset])
+        self._records.record_rollback(move, self._shared_rollouts.by_offset[move.offset])
 
     def _follow(self, configuration: Configuration) -> None:
         active = frozenset(move.offset for move in configuration.active_rollouts())
         self._gate.update(configuration, self._clock.monotonic())
         self._warn_of_lost_take_backs(configuration)
-        self._shared_moves.keep_active(active, configuration.offset)
-        self.book.retain(active)
-        self.reporting.keep_only(active)
+        self._shared_rollouts.keep_active(active, configuration.offset)
+        self.evidence_store.retain(active)
+        self.reporting.retain(active)
         held: tuple[dict[int, t.Any], ...] = (
             self._controllers_by_move,
             self._taken_back_seen_at,
@@ -267,7 +267,7 @@
             service = configuration.services_by_name.get(move.service)
             if service is None or service.version != move.to_version:
                 continue
-            if self._shared_moves.is_rolled_back(move.offset):
+            if self._shared_rollouts.is_rolled_back(move.offset):
                 logger.error(
                     "move {} was done on the log before its take-back; move {} back to {}",
                     move.move_id,
--- a/src/bulrushflow/nodes/move_records.py
+++ b/src/bulrushflow/nodes/rollout_records.py
@@ -22,7 +22,7 @@
         """Have a record appended, as long as it is current."""
 
 
-class MoveRecords:
+class RolloutRecords:
     """Submits a move's steps and final records."""
 
     __slots__ = ("_own_id", "_recorder")
@@ -31,15 +31,17 @@
         self._recorder = recorder
         self._own_id = own_id
 
-    def step(self, move: Rollout, share_permille: int, rule: str, evidence: str) -> None:
+    def record_step(self, move: Rollout, share_permille: int, rule: str, evidence: str) -> None:
         """Record that the share was raised."""
         self._step(move, f"step/{share_permille}", share_permille, rule, evidence)
 
-    def at_risk(self, move: Rollout, share_permille: int, reason: str, evidence: str) -> None:
+    def record_at_risk(
+        self, move: Rollout, share_permille: int, reason: str, evidence: str
+    ) -> None:
         """Record, once a move, that its deadline may not be met safely."""
         self._step(move, "at-risk", share_permille, f"at risk: {reason}", evidence)
 
-    def taken_back(self, move: Rollout, state: SharedRollout) -> None:
+    def record_rollback(self, move: Rollout, state: SharedRollout) -> None:
         """Record the take-back that the nodes agreed on; its reason holds the figures."""
         self._recorder.submit(
             FinishRollout(
@@ -53,7 +55,7 @@
             )
         )
 
-    def done(
+    def record_completion(
         self, move: Rollout, rule: str, evidence: str, is_current: t.Callable[[], bool]
     ) -> None:
         """Record that the move is done, as long as ``is_current`` says that it still is."""
--- a/src/bulrushflow/nodes/introductions.py
+++ b/src/bulrushflow/nodes/seed_discovery.py
@@ -13,7 +13,7 @@
 
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import is_top_ranked
-from bulrushflow.recording import INTRODUCTION_STREAM
+from bulrushflow.recording import SEED_RECORD_STREAM
 from bulrushflow.recording import Log
 from bulrushflow.recording import LogError
 from bulrushflow.settings import parse_endpoint
@@ -39,7 +39,7 @@
 """Time for which an address that did not answer is asked last."""
 
 
-class Introduction(msgspec.Struct, frozen=True):
+class SeedRecord(msgspec.Struct, frozen=True):
     """A node that joiners may ask."""
 
     node_id: str
@@ -53,10 +53,10 @@
         return self.address, self.peer_port
 
 
-class Posted(msgspec.Struct, frozen=True):
+class LoggedSeedRecord(msgspec.Struct, frozen=True):
     """An introduction and its age on the log, in milliseconds."""
 
-    introduction: Introduction
+    introduction: SeedRecord
     age_ms: int
 
 
@@ -67,7 +67,7 @@
         """Fetch it from the first of a few nodes that answers; return whether one did."""
 
 
-class Introductions:
+class SeedDiscovery:
     """Keeps a few fresh introduction records per data centre, and joins through them.
 
     Only a node that knows no other one, and the few chosen by rendezvous in each data centre,
@@ -147,25 +147,25 @@
         near = self._table.in_data_centre(own.data_centre)
         return is_top_ranked(near, "introducer", own.node_id, WANTED_PER_DATA_CENTRE)
 
-    async def _read(self) -> Result[list[Posted], LogError]:
-        result = await self._log.tail(INTRODUCTION_STREAM, TAIL_RECORDS)
+    async def _read(self) -> Result[list[LoggedSeedRecord], LogError]:
+        result = await self._log.tail(SEED_RECORD_STREAM, TAIL_RECORDS)
         if isinstance(result, Err):
             return result
         now_ms = self._wall_ms()
-        by_id: dict[str, Posted] = {}
+        by_id: dict[str, LoggedSeedRecord] = {}
         for record in result.ok_value.records:
             age_ms = now_ms - record.appended_at_ms
             if age_ms > FRESH_MS:
                 continue
             try:
-                introduction = msgspec.json.decode(record.body, type=Introduction)
+                introduction = msgspec.json.decode(record.body, type=SeedRecord)
             except msgspec.DecodeError as exc:
                 logger.warning("introduction at {} passed over: {}", record.offset, exc)
                 continue
-            by_id[introduction.node_id] = Posted(introduction, age_ms)
+            by_id[introduction.node_id] = LoggedSeedRecord(introduction, age_ms)
         return Ok(list(by_id.values()))
 
-    async def _join(self, posted: list[Posted]) -> None:
+    async def _join(self, posted: list[LoggedSeedRecord]) -> None:
         """Join through introduced nodes that are not known, several at a time and bounded.
 
         A node that knows nobody stops at the first answer; the others are then known from it.
@@ -181,7 +181,7 @@
             if asked and not await self._gossip.join(*(i.endpoint for i in asked)):
                 self._pass_over(asked)
 
-    def _is_unknown(self, introduction: Introduction) -> bool:
+    def _is_unknown(self, introduction: SeedRecord) -> bool:
         if introduction.node_id == self._table.own_id:
             return False
         held = self._table.by_id.get(introduction.node_id)
@@ -190,7 +190,7 @@
     def _is_silent(self, endpoint: Endpoint) -> bool:
         return self._timers.now() < self._silent_until.get(endpoint, float("-inf"))
 
-    def _pass_over(self, asked: list[Introduction]) -> None:
+    def _pass_over(self, asked: list[SeedRecord]) -> None:
         now = self._timers.now()
         self._silent_until = {e: u for e, u in self._silent_until.items() if u > now}
         for introduction in asked:
@@ -204,7 +204,7 @@
                 return
             await self._gossip.join(*seeds[start : start + ASKED_AT_ONCE])
 
-    def _lacks(self, posted: list[Posted]) -> bool:
+    def _lacks(self, posted: list[LoggedSeedRecord]) -> bool:
         """Tell whether this node should append its introduction."""
         if not self._is_alone() and not self._is_introducer():
             return False
@@ -224,8 +224,8 @@
 
     async def _append(self) -> None:
         own = self._table.own
-        introduction = Introduction(own.node_id, own.data_centre, own.address, own.peer_port)
-        match await self._log.append(INTRODUCTION_STREAM, msgspec.json.encode(introduction)):
+        introduction = SeedRecord(own.node_id, own.data_centre, own.address, own.peer_port)
+        match await self._log.append(SEED_RECORD_STREAM, msgspec.json.encode(introduction)):
             case Ok(offset):
                 logger.info("introduced this node at {}", offset)
             case Err(error):
--- a/src/bulrushflow/operators/endpoint.py
+++ b/src/bulrushflow/operators/endpoint.py
@@ -41,7 +41,7 @@
         self,
         store: ConfigurationStore,
         table: MemberTable,
-        shared_moves: SharedRollouts,
+        shared_rollouts: SharedRollouts,
         gossip: Gossip,
         recorder: Recorder,
         metrics: Metrics,
@@ -49,7 +49,7 @@
     ) -> None:
         self._store = store
         self._table = table
-        self._shared_moves = shared_moves
+        self._shared_rollouts = shared_rollouts
         self._gossip = gossip
         self._recorder = recorder
         self._metrics = metrics
@@ -87,7 +87,7 @@
             self._store.current.offset,
             digest(self._store.current),
             sorted(members, key=lambda m: m.node_id),
-            [r.publish_id for r in self._recorder.unrecorded()],
+            [r.publish_id for r in self._recorder.pending_records()],
             self._store.current.schema_level,
             self._store.unsupported,
         )
@@ -116,7 +116,7 @@
         return _json(
             UnrecordedAccount(
                 self._table.own_id,
-                [msgspec.Raw(encode_record(r)) for r in self._recorder.unrecorded()],
+                [msgspec.Raw(encode_record(r)) for r in self._recorder.pending_records()],
                 [a for a in accounts if a.taken_back],
             )
         )
@@ -174,15 +174,15 @@
         for status in Status:
             self._metrics.members.set({"status": status.name.lower()}, counts[status])
         self._metrics.ready.set({}, int(self._is_ready()))
-        self._metrics.unrecorded.set({}, len(self._recorder.unrecorded()))
+        self._metrics.unrecorded.set({}, len(self._recorder.pending_records()))
 
     def _account(self, move: Rollout) -> MoveAccount:
-        shared = self._shared_moves.by_offset.get(move.offset)
+        shared = self._shared_rollouts.by_offset.get(move.offset)
         prefix = f"{move.move_id}/"
-        unrecorded = [r.publish_id for r in self._recorder.unrecorded()]
+        unrecorded = [r.publish_id for r in self._recorder.pending_records()]
         return MoveAccount(
             move,
-            _share(move, self._shared_moves),
+            _share(move, self._shared_rollouts),
             shared.rolled_back if shared else move.status is RolloutStatus.ROLLED_BACK,
             shared.reason if shared else "",
             shared.decided_by if shared else move.decided_by,
@@ -190,9 +190,9 @@
         )
 
 
-def _share(move: Rollout, shared_moves: SharedRollouts) -> int:
+def _share(move: Rollout, shared_rollouts: SharedRollouts) -> int:
     if move.status is RolloutStatus.ACTIVE:
-        return shared_moves.share_permille(move.offset)
+        return shared_rollouts.share_permille(move.offset)
     return 1000 if move.status is RolloutStatus.COMPLETED else 0
 
 
--- a/src/bulrushflow/recording/__init__.py
+++ b/src/bulrushflow/recording/__init__.py
@@ -2,19 +2,19 @@
 
 from bulrushflow.recording.http import HttpLog
 from bulrushflow.recording.log import CONFIGURATION_STREAM
-from bulrushflow.recording.log import INTRODUCTION_STREAM
+from bulrushflow.recording.log import SEED_RECORD_STREAM
 from bulrushflow.recording.log import Log
 from bulrushflow.recording.log import LogError
 from bulrushflow.recording.log import LogErrorKind
 from bulrushflow.recording.log import LogPage
 from bulrushflow.recording.recorder import Recorder
 from bulrushflow.recording.recovery import Recovery
-from bulrushflow.recording.recovery import recover
+from bulrushflow.recording.recovery import recover_from_snapshot
 from bulrushflow.recording.snapshots import SnapshotWriter
 
 __all__ = [
     "CONFIGURATION_STREAM",
-    "INTRODUCTION_STREAM",
+    "SEED_RECORD_STREAM",
     "HttpLog",
     "Log",
     "LogError",
@@ -23,5 +23,5 @@
     "Recorder",
     "Recovery",
     "SnapshotWriter",
-    "recover",
+    "recover_from_snapshot",
 ]
--- a/src/bulrushflow/recording/log.py
+++ b/src/bulrushflow/recording/log.py
@@ -9,7 +9,7 @@
 from bulrushflow.configuration import LogRecord
 
 CONFIGURATION_STREAM = "configuration"
-INTRODUCTION_STREAM = "introductions"
+SEED_RECORD_STREAM = "introductions"
 
 
 class LogErrorKind(enum.Enum):
--- a/src/bulrushflow/recording/recorder.py
+++ b/src/bulrushflow/recording/recorder.py
@@ -39,14 +39,14 @@
         store: ConfigurationStore,
         rate_per_s: float,
         rng: random.Random,
-        writers: t.Callable[[], int] = lambda: 1,
+        writer_count: t.Callable[[], int] = lambda: 1,
     ) -> None:
         super().__init__()
         self._log = log
         self._store = store
         self._rate_per_s = rate_per_s
         self._rng = rng
-        self._writers = writers
+        self._writers = writer_count
         self._waiting_by_id: dict[str, Record] = {}
         self._is_current_by_id: dict[str, t.Callable[[], bool]] = {}
         self._wake = asyncio.Event()
@@ -66,7 +66,7 @@
             self._is_current_by_id[record.publish_id] = is_current
         self._wake.set()
 
-    def unrecorded(self) -> list[Record]:
+    def pending_records(self) -> list[Record]:
         """Return the records that the log is not known to have."""
         self._drop_obsolete()
         return list(self._waiting_by_id.values())
--- a/src/bulrushflow/recording/recovery.py
+++ b/src/bulrushflow/recording/recovery.py
@@ -28,7 +28,7 @@
     records: tuple[LogRecord, ...]
 
 
-async def recover(
+async def recover_from_snapshot(
     log: Log, held_offset: int, first_offset: int, span: int
 ) -> Result[Recovery, str]:
     """Return the newest usable snapshot above ``held_offset`` with the records that follow it.
--- a/src/bulrushflow/timers.py
+++ b/src/bulrushflow/timers.py
@@ -91,11 +91,11 @@
         """Seconds on the clock that stalls are measured with."""
         return self._monotonic()
 
-    def subscribe_stall(self, callback: StallCallback) -> None:
+    def subscribe_pause(self, callback: StallCallback) -> None:
         """Call back with the seconds for which the process stood still, once it runs again."""
         self._on_stall.append(callback)
 
-    def check_stall(self) -> None:
+    def check_pause(self) -> None:
         """Look for a stall now instead of with the next heartbeat.
 
         After a pause the loop runs every timer that is due, in no useful order, so a part that
@@ -110,9 +110,9 @@
         for callback in self._on_stall:
             callback(now - beat_at)
 
-    def stalled_since(self, instant: float) -> bool:
+    def paused_since(self, instant: float) -> bool:
         """Tell whether the process stood still after ``instant``, in seconds of the clock."""
-        self.check_stall()
+        self.check_pause()
         return self._stall_ended_at >= instant
 
     async def on_start(self) -> None:
@@ -128,7 +128,7 @@
                 await task
 
     async def _beat(self) -> None:
-        self.check_stall()
+        self.check_pause()
 
     async def _repeat(self, name: str, period_s: float, callback: Callback, spread: float) -> None:
         while True:
--- a/tests/nodes/stores.py
+++ b/tests/nodes/dissemination_fleet.py
@@ -13,7 +13,7 @@
 from bulrushflow.membership import Status
 from bulrushflow.membership import rank_members
 from bulrushflow.metrics import Metrics
-from bulrushflow.nodes import Spreading
+from bulrushflow.nodes import RecordDissemination
 from bulrushflow.recording import Log
 from bulrushflow.settings import PlatformSettings
 from bulrushflow.timers import Timers
@@ -45,7 +45,7 @@
 
     async def start(self) -> None:
         """Begin to spread."""
-        self.spreading = Spreading(
+        self.dissemination = RecordDissemination(
             self.store,
             self.table,
             self.log,
@@ -57,11 +57,11 @@
             self.broken.append,
             self._now,
         )
-        await self.spreading.start()
+        await self.dissemination.start()
 
     async def stop(self) -> None:
         """Stop every part."""
-        await self.spreading.stop()
+        await self.dissemination.stop()
         await self.timers.stop()
         await self.links.stop()
 
@@ -83,7 +83,7 @@
             "ALONE_GRACE_S",
             "ROLE_CHECK_S",
         ):
-            patch = mock.patch(f"bulrushflow.nodes.spreading.{name}", 0.02)
+            patch = mock.patch(f"bulrushflow.nodes.dissemination.{name}", 0.02)
             patch.start()
             self.addCleanup(patch.stop)
 
@@ -127,4 +127,4 @@
 
     def all_caught_up(self) -> bool:
         """Tell whether every node knows that it is up to date."""
-        return all(node.spreading.caught_up for node in self.nodes)
+        return all(node.dissemination.caught_up for node in self.nodes)
--- a/tests/nodes/fleet.py
+++ b/tests/nodes/fleet.py
@@ -8,8 +8,8 @@
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Status
 from bulrushflow.nodes import Gossip
+from bulrushflow.nodes.datagrams import DatagramHandler
 from bulrushflow.nodes.datagrams import DatagramTransport
-from bulrushflow.nodes.datagrams import Receive
 from bulrushflow.nodes.datagrams import open_udp
 from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.settings import GossipSettings
@@ -37,7 +37,7 @@
             for b in second:
                 self.cut |= {(a.endpoint, b.endpoint), (b.endpoint, a.endpoint)}
 
-    async def open(self, endpoint: Endpoint, receive: Receive) -> DatagramTransport:
+    async def open(self, endpoint: Endpoint, receive: DatagramHandler) -> DatagramTransport:
         """Open a UDP socket that loses what the faults say."""
         return _FaultyTransport(self, endpoint, await open_udp(endpoint, receive))
 
--- a/tests/nodes/mesh.py
+++ b/tests/nodes/mesh.py
@@ -19,14 +19,14 @@
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
 from bulrushflow.membership import rank_members
-from bulrushflow.nodes.driving import TICK_S
-from bulrushflow.nodes.driving import RolloutDriver
+from bulrushflow.nodes.rollout_driver import TICK_S
+from bulrushflow.nodes.rollout_driver import RolloutDriver
 from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.routing import Call
 
 OLD, NEW = "v1", "v2"
-SPAN_S = 40
-MOVE_OFFSET = 1
+ROLLOUT_DURATION_S = 40
+ROLLOUT_OFFSET = 1
 CALLS_A_TICK = 40
 FAILING_LATENCY_S = 0.010
 
@@ -54,17 +54,17 @@
         self.version = version
         self.paused = False
         self.cut_off = False
-        self.waiting: dict[str, tuple[Record, t.Callable[[], bool] | None]] = {}
+        self.submitted: dict[str, tuple[Record, t.Callable[[], bool] | None]] = {}
         self.inbox: list[t.Any] = []
         self.store = ConfigurationStore()
         target = Target("plots", version, TargetState.READY, 20)
         own = Member(node_id, "celje-a", "127.0.0.1", port, 1, Status.ALIVE, target)
         self.table = MemberTable(own)
-        self.shared_moves = SharedRollouts()
+        self.shared_rollouts = SharedRollouts()
         self.driver = RolloutDriver(
             self.store,
             self.table,
-            self.shared_moves,
+            self.shared_rollouts,
             self,
             self,
             self,
@@ -82,12 +82,12 @@
     async def send(self, endpoint: tuple[str, int], **body: t.Any) -> None:
         self.mesh.deliver(self, endpoint, body["evidence_report"])
 
-    def spread_now(self) -> None:
-        self.mesh.spread(self)
+    def disseminate_now(self) -> None:
+        self.mesh.disseminate(self)
 
     def submit(self, record: Record, is_current: t.Callable[[], bool] | None = None) -> None:
         if record.publish_id not in self.store.current.verdicts_by_publish_id:
-            self.waiting.setdefault(record.publish_id, (record, is_current))
+            self.submitted.setdefault(record.publish_id, (record, is_current))
 
     def count(self, version: str, failed: bool) -> None:
         call = Call("r", "t", "plots", version, "/plots", "GET", "/plots", (), b"", 0.0, True)
@@ -101,7 +101,7 @@
         self.clock = FakeClock()
         self.log_down = False
         self.records: list[LogRecord] = []
-        self.new_fails = False
+        self.new_version_fails = False
         self.new_calls = 0
         self.nodes = [FakeNode(self, f"old-{i}", OLD, 1 + i) for i in range(old_nodes)]
         self.nodes += [FakeNode(self, f"new-{i}", NEW, 100 + i) for i in range(new_nodes)]
@@ -111,13 +111,13 @@
         services: dict[str, ServiceBody | None] = {"plots": ServiceBody(OLD)}
         routes: dict[str, RouteBody | None] = {"/plots": RouteBody("plots")}
         self.append(Configure(1, "c", "ana", services=services, routes=routes))
-        finish_by_ms = self.clock.wall_ms() + 1000 * SPAN_S
+        finish_by_ms = self.clock.wall_ms() + 1000 * ROLLOUT_DURATION_S
         self.append(StartRollout(1, "m", "ana", "plots", NEW, finish_by_ms))
 
     @property
     def driver(self) -> FakeNode:
         """The node that drives the move while all are alive."""
-        first = rank_members([node.table.own for node in self.nodes], f"move/{MOVE_OFFSET}")[0]
+        first = rank_members([node.table.own for node in self.nodes], f"move/{ROLLOUT_OFFSET}")[0]
         return next(node for node in self.nodes if node.table.own_id == first.node_id)
 
     @property
@@ -125,9 +125,9 @@
         """What the log says."""
         return max((n.store.current for n in self.nodes), key=lambda c: c.offset)
 
-    def share(self) -> int:
+    def traffic_share(self) -> int:
         """Return the highest share that any node serves."""
-        return max(node.shared_moves.share_permille(MOVE_OFFSET) for node in self.nodes)
+        return max(node.shared_rollouts.share_permille(ROLLOUT_OFFSET) for node in self.nodes)
 
     def append(self, record: Record) -> None:
         """Put a record on the log and bring it to every node that runs."""
@@ -140,11 +140,11 @@
             if node.table.own.endpoint == endpoint and not (sender.cut_off or node.cut_off):
                 node.inbox.append(message)
 
-    def spread(self, sender: FakeNode) -> None:
+    def disseminate(self, sender: FakeNode) -> None:
         for node in self.nodes:
             if not (sender.cut_off or node.cut_off or node.paused):
-                for state in list(sender.shared_moves.by_offset.values()):
-                    node.shared_moves.merge(state)
+                for state in list(sender.shared_rollouts.by_offset.values()):
+                    node.shared_rollouts.merge(state)
 
     async def run(self, seconds: float) -> None:
         """Let calls, ticks, messages and the log go on for so long."""
@@ -160,7 +160,7 @@
                 node.inbox.clear()
                 await node.tick()
             for node in self.nodes:
-                self.spread(node)
+                self.disseminate(node)
             # Sends run as tasks of the loop.
             await _settle()
             self._record()
@@ -170,13 +170,13 @@
         new = [node for node in self.nodes if node.version == NEW]
         for i in range(CALLS_A_TICK):
             # A fixed pattern instead of chance: every run is the same.
-            to_new = (i * 389 + int(self.clock.now_s / TICK_S) * 97) % 1000 < self.share()
+            to_new = (i * 389 + int(self.clock.now_s / TICK_S) * 97) % 1000 < self.traffic_share()
             node = (new if to_new else old)[i % len(new if to_new else old)]
             version = NEW if to_new else OLD
             if node.paused or node.driver.is_forbidden("plots", version):
                 continue
             self.new_calls += to_new
-            node.count(version, to_new and self.new_fails)
+            node.count(version, to_new and self.new_version_fails)
 
     def _record(self) -> None:
         if self.log_down:
@@ -184,10 +184,10 @@
         for node in self.nodes:
             if node.paused:
                 continue
-            for record, is_current in list(node.waiting.values()):
+            for record, is_current in list(node.submitted.values()):
                 if is_current is None or is_current():
                     self.append(record)
-            node.waiting.clear()
+            node.submitted.clear()
 
     def _follow_log(self) -> None:
         for node in self.nodes:
--- a/tests/nodes/test_synchronizing.py
+++ b/tests/nodes/test_anti_entropy.py
@@ -7,10 +7,10 @@
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Status
-from bulrushflow.nodes.composing import Composer
-from bulrushflow.nodes.synchronizing import MAX_DATAGRAMS
-from bulrushflow.nodes.synchronizing import WHOLE_TABLE_MEMBERS
-from bulrushflow.nodes.synchronizing import Synchronizer
+from bulrushflow.nodes.anti_entropy import MAX_DATAGRAMS
+from bulrushflow.nodes.anti_entropy import WHOLE_TABLE_MEMBERS
+from bulrushflow.nodes.anti_entropy import AntiEntropy
+from bulrushflow.nodes.composing import MessageComposer
 from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.timers import Timers
 from bulrushflow.wire.links import Endpoint
@@ -29,9 +29,9 @@
         for i in members:
             self.table.merge(Member(f"n{i}", "celje-a", "127.0.0.1", 2, 1), 0.0)
         timers = Timers(random.Random(1), lambda: self.now)
-        composer = Composer(self.table, SharedRollouts(), lambda: 0)
+        composer = MessageComposer(self.table, SharedRollouts(), lambda: 0)
         rng = random.Random(1)
-        self.synchronizer = Synchronizer(
+        self.synchronizer = AntiEntropy(
             self.table, composer, timers, 0.5, rng, self._send, self.fetched.append
         )
 
@@ -46,7 +46,7 @@
             for member in members:
                 self.table.merge(member, 0.0)
             if "bucket_request" in body:
-                self.synchronizer.answer_request(PEER, body["bucket_request"])
+                self.synchronizer.handle_bucket_request(PEER, body["bucket_request"])
 
 
 class SynchronizerTests(unittest.TestCase):
@@ -54,7 +54,7 @@
         first, second = Side(range(120)), Side(range(60, 180))
         for _ in range(60):
             first.sent, second.sent = [], []
-            second.synchronizer.answer_digests(PEER, first.table.bucket_digests())
+            second.synchronizer.handle_digests(PEER, first.table.bucket_digests())
             self.assertLessEqual(len(second.sent), MAX_DATAGRAMS)
             first.take(second.sent)
             self.assertLessEqual(len(first.sent), MAX_DATAGRAMS)
@@ -66,22 +66,22 @@
     def test_comparisons_are_bounded_in_rate(self) -> None:
         first, second = Side(range(5)), Side(range(6))
         for _ in range(5):
-            first.synchronizer.observe(PEER, second.table.digest())
-            second.synchronizer.answer_digests(PEER, first.table.bucket_digests())
+            first.synchronizer.compare_digest(PEER, second.table.digest())
+            second.synchronizer.handle_digests(PEER, first.table.bucket_digests())
         self.assertEqual(len(first.sent), 1)
         self.assertEqual(len(second.sent), 1)
 
     def test_equal_tables_and_malformed_digests_cause_nothing(self) -> None:
         side = Side(range(5))
-        side.synchronizer.observe(PEER, side.table.digest())
-        side.synchronizer.observe(PEER, None)
-        side.synchronizer.answer_digests(PEER, side.table.bucket_digests())
-        side.synchronizer.answer_digests(PEER, b"short")
+        side.synchronizer.compare_digest(PEER, side.table.digest())
+        side.synchronizer.compare_digest(PEER, None)
+        side.synchronizer.handle_digests(PEER, side.table.bucket_digests())
+        side.synchronizer.handle_digests(PEER, b"short")
         self.assertEqual(side.sent, [])
 
     def test_tables_far_apart_are_fetched_in_pages(self) -> None:
         first, second = Side(range(0)), Side(range(WHOLE_TABLE_MEMBERS + 100))
-        second.synchronizer.answer_digests(PEER, first.table.bucket_digests())
+        second.synchronizer.handle_digests(PEER, first.table.bucket_digests())
         first.take(second.sent)
         self.assertEqual(first.fetched, [PEER])
 
@@ -89,7 +89,7 @@
         first, second = Side(range(3)), Side(range(3))
         second.table.raise_status("n1", Status.DEAD, 0.0)
         second.table.raise_status("n2", Status.LEFT, 0.0)
-        second.synchronizer.answer_digests(PEER, first.table.bucket_digests())
+        second.synchronizer.handle_digests(PEER, first.table.bucket_digests())
         first.take(second.sent)
         self.assertIs(first.table.by_id["n1"].status, Status.ALIVE)
         self.assertIs(first.table.by_id["n2"].status, Status.LEFT)
--- a/tests/nodes/test_composing.py
+++ b/tests/nodes/test_composing.py
@@ -14,8 +14,8 @@
 from bulrushflow.membership import TargetState
 from bulrushflow.membership import transmission_limit
 from bulrushflow.nodes.composing import MAX_DATAGRAM_BYTES
-from bulrushflow.nodes.composing import Composer
-from bulrushflow.nodes.composing import Told
+from bulrushflow.nodes.composing import MessageComposer
+from bulrushflow.nodes.composing import UpdateSelection
 from bulrushflow.rollouts import SharedRollout
 from bulrushflow.rollouts import SharedRollouts
 from bulrushflow.wire import codec
@@ -38,9 +38,9 @@
 )
 
 
-def composer(own_id: str = "own") -> tuple[Composer, MemberTable, SharedRollouts]:
+def composer(own_id: str = "own") -> tuple[MessageComposer, MemberTable, SharedRollouts]:
     table, shared = MemberTable(replace(OWN, node_id=own_id)), SharedRollouts()
-    return Composer(table, shared, lambda: 5), table, shared
+    return MessageComposer(table, shared, lambda: 5), table, shared
 
 
 class DatagramTests(unittest.TestCase):
@@ -58,7 +58,7 @@
         made, table, held = composer(own_id)
         for member in told:
             table.merge(member, 0.0)
-            made.tell(member)
+            made.enqueue(member)
         for move in shared:
             held.merge(move)
         body = {"ping": messages.Ping(sequence=1 << 40)}
@@ -66,7 +66,7 @@
             digests = messages.BucketDigests(digests=table.bucket_digests())
             body = {"bucket_digests": digests}
         for _ in range(5):
-            data = made.datagram((), **body)
+            data = made.encode_datagram((), **body)
             self.assertLessEqual(len(data), MAX_DATAGRAM_BYTES)
             decoded = messages.decode(messages.Datagram, data).unwrap()
             self.assertEqual(decoded.gossip.digest, table.digest())
@@ -75,13 +75,13 @@
     @given(st.lists(members, max_size=60), st.integers(1, 6))
     def test_batches_fit_and_keep_the_order(self, told: list[Member], count: int) -> None:
         made, _, _ = composer()
-        batches = made.batches(told, count)
+        batches = made.split_into_batches(told, count)
         self.assertLessEqual(len(batches), count)
         flat = [m for batch in batches for m in batch]
         self.assertEqual(flat, told[: len(flat)])
         request = messages.BucketRequest(buckets=list(range(40)), whole_table=False)
         for batch in batches:
-            data = made.datagram(batch, bucket_request=request)
+            data = made.encode_datagram(batch, bucket_request=request)
             self.assertLessEqual(len(data), MAX_DATAGRAM_BYTES)
 
     def test_a_draining_target_goes_before_a_queue_of_other_news(self) -> None:
@@ -89,12 +89,12 @@
         for i in range(500):
             member = replace(OWN, node_id=f"n{i}")
             table.merge(member, 0.0)
-            made.tell(member)
+            made.enqueue(member)
         target = Target("statements", "v1", TargetState.DRAINING, 4)
         leaving = replace(OWN, node_id="n7", incarnation=2, target=target)
         table.merge(leaving, 0.0)
-        made.tell(leaving)
-        data = made.datagram((), ping=messages.Ping(sequence=0))
+        made.enqueue(leaving)
+        data = made.encode_datagram((), ping=messages.Ping(sequence=0))
         decoded = messages.decode(messages.Datagram, data).unwrap()
         self.assertEqual(decoded.gossip.members[0].node_id, "n7")
 
@@ -103,13 +103,13 @@
         for i in range(20):
             member = replace(OWN, node_id=f"n{i}", status=Status(i % 2))
             table.merge(member, 0.0)
-            made.tell(member)
-        data = made.datagram((), Told.SUSPICIONS, ping=messages.Ping(sequence=0))
+            made.enqueue(member)
+        data = made.encode_datagram((), UpdateSelection.SUSPICIONS, ping=messages.Ping(sequence=0))
         told = messages.decode(messages.Datagram, data).unwrap().gossip.members
         self.assertEqual({m.status for m in told}, {Status.SUSPECT})
         for _ in range(transmission_limit(20)):
-            made.note_equal()
-        data = made.datagram((), ping=messages.Ping(sequence=0))
+            made.record_equal_digest()
+        data = made.encode_datagram((), ping=messages.Ping(sequence=0))
         told = messages.decode(messages.Datagram, data).unwrap().gossip.members
         self.assertEqual({m.status for m in told}, {Status.SUSPECT})
 
@@ -117,6 +117,6 @@
         made, _, shared = composer()
         shared.merge(SharedRollout(1, 10, True, "x" * 900, "own"))
         decoded = messages.decode(
-            messages.Datagram, made.datagram((), ping=messages.Ping(sequence=0))
+            messages.Datagram, made.encode_datagram((), ping=messages.Ping(sequence=0))
         ).unwrap()
         self.assertEqual(decoded.gossip.moves[0].move, 1)
--- a/tests/nodes/test_detector.py
+++ b/tests/nodes/test_detector.py
@@ -9,7 +9,7 @@
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Status
 from bulrushflow.nodes.detector import REFRESH_LIMIT_S
-from bulrushflow.nodes.detector import Detector
+from bulrushflow.nodes.detector import FailureDetector
 from bulrushflow.settings import GossipSettings
 from bulrushflow.timers import Timers
 
@@ -39,28 +39,28 @@
     async def ping_indirectly(self, member: Member, timeout_s: float) -> bool:
         return self.indirect
 
-    def heard_since(self, instant: float) -> bool:
+    def received_since(self, instant: float) -> bool:
         return self.heard
 
-    def refresh(self) -> None:
+    def probe_random_members(self) -> None:
         self.refreshed += 1
 
     def run_for(self, seconds: float) -> None:
         """Let time go by in steps that are no pause."""
         for _ in range(STEPS):
             self.now += seconds / STEPS
-            self.timers.check_stall()
+            self.timers.check_pause()
 
 
 class DetectorTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.pinger = FakePinger()
         self.timers = self.pinger.timers
-        self.timers.check_stall()
+        self.timers.check_pause()
         self.table = MemberTable(Member("own", "celje-a", "127.0.0.1", 1, 1))
         self.table.merge(PEER, 0.0)
         self.changed: list[Member] = []
-        self.detector = Detector(
+        self.detector = FailureDetector(
             self.table,
             self.timers,
             GossipSettings(),
@@ -68,7 +68,7 @@
             self.pinger,
             self.changed.append,
         )
-        self.timers.subscribe_stall(self.detector._take_stall)
+        self.timers.subscribe_pause(self.detector._take_stall)
 
     async def test_rounds_in_cases(self) -> None:
         cases: dict[str, tuple[dict[str, t.Any], Status]] = {
--- a/tests/nodes/test_spreading.py
+++ b/tests/nodes/test_dissemination.py
@@ -7,7 +7,7 @@
 from bulrushflow.configuration import encode_record
 from bulrushflow.configuration import make_snapshot
 from bulrushflow.nodes.pulling import PullServer
-from tests.nodes.stores import FleetTestCase
+from tests.nodes.dissemination_fleet import FleetTestCase
 from tests.recording.fakes import MemoryLog
 from tests.recording.test_recovery import change
 from tests.recording.test_recovery import log_with_snapshots
@@ -27,7 +27,7 @@
         for number in range(20):
             self.log.add(change(number))
         await until(lambda: self.all_hold(19))
-        readers = [n.data_centre for n in nodes if n.spreading.is_reader()]
+        readers = [n.data_centre for n in nodes if n.dissemination.is_reader()]
         self.assertEqual(sorted(readers), ["celje-a"] * 2 + ["velenje"] * 2)
         self.assertEqual(len({n.store.current.offset for n in nodes}), 1)
 
@@ -41,9 +41,9 @@
     async def test_the_second_reader_sends_records_when_the_first_does_not(self) -> None:
         nodes = await self.add_all(*["celje-a"] * 8)
         await until(self.all_caught_up)
-        first = next(n for n in nodes if n.spreading._reader_ids()[0] == n.node_id)
-        first.spreading._reader._log = down_log()
-        first.spreading._asking = True  # Neither does it ask its peers.
+        first = next(n for n in nodes if n.dissemination._reader_ids()[0] == n.node_id)
+        first.dissemination._reader._log = down_log()
+        first.dissemination._asking = True  # Neither does it ask its peers.
         self.log.add(change(0))
         await until(lambda: self.all_hold(0))
         with mock.patch("bulrushflow.nodes.pulling.PULL_WAIT_S", 600.0):
@@ -56,7 +56,7 @@
         await until(self.all_caught_up)
         self.log.down = True
         restarted = await self.add("celje-a")
-        await until(lambda: restarted.spreading.caught_up)
+        await until(lambda: restarted.dissemination.caught_up)
         self.assertEqual(restarted.store.current.offset, 0)
         self.assertTrue(self.all_caught_up())
 
@@ -64,8 +64,8 @@
         self.log.add(change(0))
         self.log.down = True
         await self.add_all("celje-a", "celje-a", "velenje")
-        await until(lambda: all(n.spreading._reader.failures > 1 for n in self.nodes[:2]))
-        self.assertFalse(any(n.spreading.caught_up for n in self.nodes))
+        await until(lambda: all(n.dissemination._reader.failures > 1 for n in self.nodes[:2]))
+        self.assertFalse(any(n.dissemination.caught_up for n in self.nodes))
         self.log.down = False
         await until(self.all_caught_up)
         self.assertTrue(self.all_hold(0))
@@ -74,11 +74,11 @@
         nodes = await self.add_all("celje-a", "celje-a", "celje-a")
         await until(self.all_caught_up)
         for node in nodes:
-            with self.subTest(reader=node.spreading.is_reader()):
+            with self.subTest(reader=node.dissemination.is_reader()):
                 node.ahead_s += 60.0
                 # No timer has run since: the look at the clock itself must find the pause.
-                self.assertFalse(node.spreading.caught_up)
-                await until(lambda n=node: n.spreading.caught_up)  # type: ignore[misc]
+                self.assertFalse(node.dissemination.caught_up)
+                await until(lambda n=node: n.dissemination.caught_up)  # type: ignore[misc]
 
     async def test_nodes_paused_together_while_the_log_is_down_recover(self) -> None:
         nodes = await self.add_all(*["celje-a"] * 4)
@@ -87,7 +87,7 @@
         self.log.down = True
         for node in nodes:
             node.ahead_s += 60.0
-        self.assertFalse(any(node.spreading.caught_up for node in nodes))
+        self.assertFalse(any(node.dissemination.caught_up for node in nodes))
         with mock.patch("bulrushflow.configuration.freshness.CHECKING_PEERS_ACCEPTED_AFTER_S", 0.1):
             await until(self.all_caught_up)
 
@@ -117,8 +117,8 @@
         self.log = log_with_snapshots(12, corrupt=12)
         del self.log.records[:8]
         node = await self.add("celje-a")
-        await until(lambda: node.spreading._reader.failures > 1)
-        self.assertFalse(node.spreading.caught_up)
+        await until(lambda: node.dissemination._reader.failures > 1)
+        self.assertFalse(node.dissemination.caught_up)
         self.assertEqual(node.store.current.offset, -1)
 
     async def test_an_older_release_stops_but_passes_records_on(self) -> None:
@@ -132,8 +132,8 @@
         await until(lambda: newer.store.current.offset == 2)
         older = self.nodes[:2]
         self.assertEqual([n.store.current.offset for n in older], [0, 0])
-        self.assertFalse(any(n.spreading.caught_up for n in older))
-        self.assertTrue(newer.spreading.caught_up)
+        self.assertFalse(any(n.dissemination.caught_up for n in older))
+        self.assertTrue(newer.dissemination.caught_up)
 
     async def test_a_differing_snapshot_is_reported_as_a_broken_invariant(self) -> None:
         node = await self.add("celje-a")
@@ -163,12 +163,12 @@
             self.log.add(change(number))
         nodes = await self.add_all("celje-a", "celje-a")
         await until(lambda: self.all_hold(2))
-        servers: list[PullServer] = [n.spreading._server for n in nodes]
+        servers: list[PullServer] = [n.dissemination._server for n in nodes]
         with mock.patch("bulrushflow.nodes.pulling.SERVED_BYTES_PER_S", 0):
             for server in servers:
                 server._tokens = 0.0
             behind = await self.add_non_reader("celje-a")
-            await until(lambda: sum(server.refused for server in servers) > 1)
+            await until(lambda: sum(server.refused_pulls for server in servers) > 1)
             self.assertEqual(behind.store.current.offset, -1)
         await until(lambda: self.all_hold(2) and self.all_caught_up())
 
@@ -176,7 +176,7 @@
         nodes = await self.add_all("celje-a", "celje-a")
         await until(self.all_caught_up)
         behind = await self.add_non_reader("celje-a")
-        await until(lambda: behind.spreading.caught_up)
+        await until(lambda: behind.dissemination.caught_up)
         behind.links.handle("records_push", mock.AsyncMock(return_value=None))
         asked: list[int] = []
         exchange = behind.links.exchange
@@ -189,6 +189,6 @@
             self.log.add(change(0))
             await until(lambda: nodes[0].store.current.offset == 0)
             for _ in range(10):
-                behind.spreading.peer_ahead(nodes[0].table.own.endpoint, 0)
+                behind.dissemination.note_peer_offset(nodes[0].table.own.endpoint, 0)
             await until(lambda: behind.store.current.offset == 0)
         self.assertEqual(asked, [0])
--- a/tests/nodes/test_reporting.py
+++ b/tests/nodes/test_evidence_reporting.py
@@ -10,15 +10,15 @@
 
 from bulrushflow.configuration import Rollout
 from bulrushflow.membership import Member
-from bulrushflow.nodes.driving import TICK_S
-from bulrushflow.nodes.evidence_freshness import FRESH_S
-from bulrushflow.nodes.reporting import BUDGET_BYTES_PER_S
-from bulrushflow.nodes.reporting import LARGE_REPORT_S
-from bulrushflow.nodes.reporting import MAX_RECEIVERS
-from bulrushflow.nodes.reporting import MIN_RECEIVERS
-from bulrushflow.nodes.reporting import UNCHANGED_REPORT_S
-from bulrushflow.nodes.reporting import Reporting
-from bulrushflow.nodes.reporting import report_limits
+from bulrushflow.nodes.evidence_freshness import MAX_EVIDENCE_AGE_S
+from bulrushflow.nodes.evidence_reporting import BUDGET_BYTES_PER_S
+from bulrushflow.nodes.evidence_reporting import MAX_LARGE_REPORT_PERIOD_S
+from bulrushflow.nodes.evidence_reporting import MAX_RECEIVERS
+from bulrushflow.nodes.evidence_reporting import MIN_RECEIVERS
+from bulrushflow.nodes.evidence_reporting import UNCHANGED_REPORT_PERIOD_S
+from bulrushflow.nodes.evidence_reporting import EvidenceReporter
+from bulrushflow.nodes.evidence_reporting import report_limits
+from bulrushflow.nodes.rollout_driver import TICK_S
 from bulrushflow.rollouts import Evidence
 from bulrushflow.rollouts import EvidenceStore
 from bulrushflow.wire import codec
@@ -48,27 +48,29 @@
                 period_s, receivers = report_limits(size)
                 self.assertLessEqual(receivers, MAX_RECEIVERS)
                 within = receivers * size / period_s <= BUDGET_BYTES_PER_S * 1.001
-                longest = (LARGE_REPORT_S, MIN_RECEIVERS)
+                longest = (MAX_LARGE_REPORT_PERIOD_S, MIN_RECEIVERS)
                 self.assertTrue(within or (period_s, receivers) == longest)
 
     def test_the_longest_period_keeps_evidence_fresh(self) -> None:
-        self.assertLess(max(LARGE_REPORT_S, UNCHANGED_REPORT_S) + TICK_S, FRESH_S)
+        self.assertLess(
+            max(MAX_LARGE_REPORT_PERIOD_S, UNCHANGED_REPORT_PERIOD_S) + TICK_S, MAX_EVIDENCE_AGE_S
+        )
 
     async def test_an_unreachable_receiver_holds_up_no_other(self) -> None:
         book = EvidenceStore("n0", 1)
         book.local(7).observe("v2", "/dues", False, 0.01)
         sender = StuckSender(0)
-        reporting = Reporting(book, "n0", sender)
-        reporting.report(MOVE, GROUP, 0.0)
+        reporting = EvidenceReporter(book, "n0", sender)
+        reporting.send_if_due(MOVE, GROUP, 0.0)
         await asyncio.sleep(0)
         receivers = set(sender.ports)
         self.assertLessEqual(len(receivers), MAX_RECEIVERS)
         stuck = min(receivers)
         sender = StuckSender(stuck)
-        reporting = Reporting(book, "n0", sender)
+        reporting = EvidenceReporter(book, "n0", sender)
         for i in range(5):
             book.local(7).observe("v2", "/dues", False, 0.01)
-            reporting.report(MOVE, GROUP, 10.0 * i)
+            reporting.send_if_due(MOVE, GROUP, 10.0 * i)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         self.assertEqual(sender.ports.count(stuck), 1)
@@ -79,9 +81,9 @@
 
     async def test_unchanged_evidence_is_repeated_seldom(self) -> None:
         sender = StuckSender(0)
-        reporting = Reporting(EvidenceStore("n0", 1), "n0", sender)
+        reporting = EvidenceReporter(EvidenceStore("n0", 1), "n0", sender)
         for i in range(40):
-            reporting.report(MOVE, GROUP[:2], i * UNCHANGED_REPORT_S / 10)
+            reporting.send_if_due(MOVE, GROUP[:2], i * UNCHANGED_REPORT_PERIOD_S / 10)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         self.assertEqual(len(sender.ports), 4)
@@ -102,5 +104,5 @@
             version="v2", route="/a", calls=1, errors=0, sparse_buckets=[99, 1]
         )
         report = messages.EvidenceReport(move=7, node_id="n1", sequence=1, routes=[route])
-        Reporting(book, "n0", StuckSender(0)).take(report, 1.0)
+        EvidenceReporter(book, "n0", StuckSender(0)).merge_report(report, 1.0)
         self.assertEqual(book.totals(7), {})
--- a/tests/nodes/test_exchange.py
+++ b/tests/nodes/test_exchange.py
@@ -17,16 +17,16 @@
     """Leave a node no bytes for pages."""
     budget = peer.gossip._exchange._budget
     now = asyncio.get_running_loop().time()
-    while budget.take(100, now):
+    while budget.try_consume(100, now):
         pass
 
 
 class PageBudgetTests(unittest.TestCase):
     def test_a_burst_and_then_a_rate(self) -> None:
         budget = PageBudget()
-        self.assertTrue(budget.take(BURST_BYTES, 0.0))
-        self.assertFalse(budget.take(1000, 0.0))
-        self.assertTrue(budget.take(1000, 2 * 1000 / REFILL_BYTES_PER_S))
+        self.assertTrue(budget.try_consume(BURST_BYTES, 0.0))
+        self.assertFalse(budget.try_consume(1000, 0.0))
+        self.assertTrue(budget.try_consume(1000, 2 * 1000 / REFILL_BYTES_PER_S))
 
 
 class MemberExchangeTests(unittest.IsolatedAsyncioTestCase):
--- a/tests/nodes/test_forwarding.py
+++ b/tests/nodes/test_forwarding.py
@@ -6,7 +6,7 @@
 
 from bulrushflow.membership import Member
 from bulrushflow.nodes import Forwarding
-from bulrushflow.nodes.forwarding import MAX_ANSWER_MARGIN_S
+from bulrushflow.nodes.forwarding import MAX_RESPONSE_MARGIN_S
 from bulrushflow.routing import Call
 from bulrushflow.routing import CallResult
 from bulrushflow.routing import Outcome
@@ -70,7 +70,7 @@
         (arrived,) = self.runner.calls
         self.assertEqual(arrived.attempt, 2)
         self.assertLess(arrived.deadline, sent.deadline)
-        self.assertGreater(arrived.deadline, sent.deadline - MAX_ANSWER_MARGIN_S - 1.0)
+        self.assertGreater(arrived.deadline, sent.deadline - MAX_RESPONSE_MARGIN_S - 1.0)
 
     async def test_failures_keep_their_outcome(self) -> None:
         for expected in (not_run("full"), answer_lost("large")):
--- a/tests/nodes/test_gossip.py
+++ b/tests/nodes/test_gossip.py
@@ -46,7 +46,7 @@
         peers = await self.start(3)
         for offset in range(40):
             peers[0].moves.merge(SharedRollout(offset, 250, True, "errors" * 20, "celje-a-0"))
-        peers[0].gossip.spread_now()
+        peers[0].gossip.disseminate_now()
         await until(lambda: all(len(p.moves.by_offset) == 40 for p in peers))
         late = await self.fleet.add("late")
         await until(lambda: len(late.moves.by_offset) == 40)
@@ -142,7 +142,7 @@
             while not whole():
                 for peer in near + far:
                     await peer.gossip._detector.reconnect()
-                    peer.gossip.spread_now()
+                    peer.gossip.disseminate_now()
         for side in (near, far):
             ids = {p.node_id for p in side}
             for peer in side:
@@ -165,7 +165,7 @@
             self.fleet.faults.separate([paused], peers[1:])
             await until(lambda: self.fleet.faults.dropped > 4)
             paused.clock.paused_s += 5.0
-            paused.timers.check_stall()
+            paused.timers.check_pause()
             self.fleet.faults.cut.clear()
             self.fleet.faults.dropped = 0
         await self.fleet.until_all_alive()
--- a/tests/nodes/test_log_reader.py
+++ b/tests/nodes/test_log_reader.py
@@ -38,12 +38,12 @@
         """See :meth:`LogReaderOwner.apply`."""
         return self._store.apply(records)
 
-    def take_page(self, page: LogPage, generation: int) -> None:
-        """See :meth:`LogReaderOwner.take_page`."""
+    def handle_page(self, page: LogPage, generation: int) -> None:
+        """See :meth:`LogReaderOwner.handle_page`."""
         self.pages += 1
 
-    def log_behind(self, next_offset: int) -> None:
-        """See :meth:`LogReaderOwner.log_behind`."""
+    def handle_log_behind(self, next_offset: int) -> None:
+        """See :meth:`LogReaderOwner.handle_log_behind`."""
         self.behind += 1
 
 
--- a/tests/nodes/test_driving.py
+++ b/tests/nodes/test_rollout_driver.py
@@ -10,10 +10,10 @@
 from bulrushflow.membership import Status
 from bulrushflow.membership import Target
 from bulrushflow.membership import TargetState
-from tests.nodes.mesh import MOVE_OFFSET
 from tests.nodes.mesh import NEW
 from tests.nodes.mesh import OLD
-from tests.nodes.mesh import SPAN_S
+from tests.nodes.mesh import ROLLOUT_DURATION_S
+from tests.nodes.mesh import ROLLOUT_OFFSET
 from tests.nodes.mesh import Mesh
 
 Fault = t.Callable[[Mesh], None]
@@ -49,12 +49,12 @@
         return mesh.configuration.moves_by_id["m"]
 
     async def run_until_shared(self, mesh: Mesh) -> None:
-        while mesh.share() < 100:
+        while mesh.traffic_share() < 100:
             await mesh.run(0.25)
 
     async def test_a_good_version_is_done_in_time_with_its_account(self) -> None:
         mesh = Mesh()
-        await mesh.run(SPAN_S)
+        await mesh.run(ROLLOUT_DURATION_S)
         move = self.move(mesh)
         self.assertIs(move.status, RolloutStatus.COMPLETED)
         self.assertLess(move.finished_at_ms, move.finish_by_ms)
@@ -70,9 +70,9 @@
             other = Member(f"other-{i}", "velenje", "127.0.0.1", 1000 + i, 1, target=elsewhere)
             mesh.nodes[0].table.merge(other, 0.0)
         await self.run_until_shared(mesh)
-        self.assertEqual(driver.possible_writers(), len(mesh.nodes))
-        await mesh.run(SPAN_S)
-        self.assertEqual(driver.possible_writers(), 0)
+        self.assertEqual(driver.potential_writer_count(), len(mesh.nodes))
+        await mesh.run(ROLLOUT_DURATION_S)
+        self.assertEqual(driver.potential_writer_count(), 0)
 
     async def test_a_bad_version_gets_no_calls_soon_after_its_fault_whatever_else_fails(
         self,
@@ -89,11 +89,11 @@
                 mesh = Mesh()
                 await self.run_until_shared(mesh)
                 fault(mesh)
-                mesh.new_fails = True
+                mesh.new_version_fails = True
                 await mesh.run(10)
                 self.assertEqual(max_share_of_running(mesh), 0)
                 calls = mesh.new_calls
-                await mesh.run(SPAN_S)
+                await mesh.run(ROLLOUT_DURATION_S)
                 self.assertEqual(mesh.new_calls, calls)
                 mesh.log_down = False
                 await mesh.run(10)
@@ -107,27 +107,27 @@
         driver.paused = True
         driver.cut_off = True
         await mesh.run(8)
-        share = mesh.share()
+        share = mesh.traffic_share()
         driver.paused = False
         for _ in range(20):
             await mesh.run(0.25)
-            self.assertLessEqual(mesh.share(), share)
+            self.assertLessEqual(mesh.traffic_share(), share)
         driver.cut_off = False
         await mesh.run(3)
-        self.assertGreater(mesh.share(), share)
+        self.assertGreater(mesh.traffic_share(), share)
 
     async def test_another_node_drives_on_after_the_driver_died(self) -> None:
         mesh = Mesh()
         await self.run_until_shared(mesh)
         driver_dead(mesh)
-        await mesh.run(SPAN_S)
+        await mesh.run(ROLLOUT_DURATION_S)
         self.assertIs(self.move(mesh).status, RolloutStatus.COMPLETED)
 
     async def test_two_drivers_at_once_leave_one_account(self) -> None:
         mesh = Mesh()
         second = mesh.nodes[0] if mesh.nodes[0] is not mesh.driver else mesh.nodes[1]
         second.table.raise_status(mesh.driver.table.own_id, Status.DEAD, 0.0)
-        await mesh.run(SPAN_S)
+        await mesh.run(ROLLOUT_DURATION_S)
         move = self.move(mesh)
         self.assertIs(move.status, RolloutStatus.COMPLETED)
         shares = [step.share_permille for step in move.steps]
@@ -136,9 +136,9 @@
     async def test_a_done_that_the_log_did_not_take_does_not_outlive_a_later_fault(self) -> None:
         mesh = Mesh()
         mesh.log_down = True
-        while "m/done" not in mesh.driver.waiting:
+        while "m/done" not in mesh.driver.submitted:
             await mesh.run(0.25)
-        mesh.new_fails = True
+        mesh.new_version_fails = True
         await mesh.run(10)
         mesh.log_down = False
         # The log takes the driver's records first, and of those the oldest first.
@@ -149,10 +149,10 @@
 
     async def test_a_move_without_ready_targets_is_told_early_and_taken_back(self) -> None:
         mesh = Mesh(new_nodes=0)
-        await mesh.run(SPAN_S / 2)
+        await mesh.run(ROLLOUT_DURATION_S / 2)
         step = self.move(mesh).steps[0]
         self.assertIn("at risk: no ready target", step.rule)
-        await mesh.run(SPAN_S)
+        await mesh.run(ROLLOUT_DURATION_S)
         self.assertIs(self.move(mesh).status, RolloutStatus.ROLLED_BACK)
         self.assertIn("deadline", self.move(mesh).reason)
 
@@ -160,7 +160,7 @@
         mesh = Mesh()
         new = [n for n in mesh.nodes if n.version == NEW and n is not mesh.driver]
         new[0].cut_off = True
-        await mesh.run(SPAN_S / 2)
+        await mesh.run(ROLLOUT_DURATION_S / 2)
         rules = [step.rule for step in self.move(mesh).steps]
         self.assertIn(f"at risk: no fresh evidence from {new[0].table.own_id}", rules)
 
@@ -182,7 +182,9 @@
         await mesh.run(5)
         reporting = [n for n in mesh.nodes if n is not mesh.nodes[1] and n is not mesh.driver]
         for node in reporting:
-            heard_at = mesh.driver.driver.book.last_report_at(MOVE_OFFSET, node.table.own_id)
+            heard_at = mesh.driver.driver.evidence_store.last_report_at(
+                ROLLOUT_OFFSET, node.table.own_id
+            )
             self.assertIsNotNone(heard_at)
 
     async def test_after_done_the_old_version_is_refused_only_after_a_while(self) -> None:
@@ -198,4 +200,4 @@
 
 def max_share_of_running(mesh: Mesh) -> int:
     running = [node for node in mesh.nodes if not node.paused]
-    return max(node.shared_moves.share_permille(MOVE_OFFSET) for node in running)
+    return max(node.shared_rollouts.share_permille(ROLLOUT_OFFSET) for node in running)
--- a/tests/nodes/test_introductions.py
+++ b/tests/nodes/test_seed_discovery.py
@@ -13,13 +13,13 @@
 from bulrushflow.configuration import LogRecord
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
-from bulrushflow.nodes import introductions
-from bulrushflow.nodes.introductions import FRESH_MS
-from bulrushflow.nodes.introductions import MAX_ASKED
-from bulrushflow.nodes.introductions import RENEW_MS
-from bulrushflow.nodes.introductions import WANTED_PER_DATA_CENTRE
-from bulrushflow.nodes.introductions import Introduction
-from bulrushflow.nodes.introductions import Introductions
+from bulrushflow.nodes import seed_discovery
+from bulrushflow.nodes.seed_discovery import FRESH_MS
+from bulrushflow.nodes.seed_discovery import MAX_ASKED
+from bulrushflow.nodes.seed_discovery import RENEW_MS
+from bulrushflow.nodes.seed_discovery import WANTED_PER_DATA_CENTRE
+from bulrushflow.nodes.seed_discovery import SeedDiscovery
+from bulrushflow.nodes.seed_discovery import SeedRecord
 from bulrushflow.recording import LogError
 from bulrushflow.recording import LogErrorKind
 from bulrushflow.recording import LogPage
@@ -58,7 +58,7 @@
         self.records.append(LogRecord(len(self.records), at_ms, body))
 
     def introduce(self, node_id: str, data_centre: str, port: int, age_ms: int = 0) -> None:
-        body = msgspec.json.encode(Introduction(node_id, data_centre, "127.0.0.1", port))
+        body = msgspec.json.encode(SeedRecord(node_id, data_centre, "127.0.0.1", port))
         self.add(body, NOW_MS - age_ms)
 
 
@@ -84,13 +84,13 @@
     def setUp(self) -> None:
         self.log = FakeLog()
         self.live: dict[Endpoint, Member] = {}
-        patch = mock.patch.object(introductions, "MAX_WAIT_S", 0.2)
+        patch = mock.patch.object(seed_discovery, "MAX_WAIT_S", 0.2)
         patch.start()
         self.addCleanup(patch.stop)
 
     async def node(
         self, number: int, data_centre: str = "celje-a", seeds: tuple[str, ...] = ()
-    ) -> tuple[Introductions, FakeJoiner]:
+    ) -> tuple[SeedDiscovery, FakeJoiner]:
         rng = random.Random(number)
         timers = Timers(rng)
         await timers.start()
@@ -98,7 +98,7 @@
         own = Member(f"n{number}", data_centre, "127.0.0.1", number, 1)
         table = MemberTable(own)
         joiner = FakeJoiner(table, self.live)
-        made = Introductions(table, joiner, self.log, timers, seeds, rng, lambda: NOW_MS)
+        made = SeedDiscovery(table, joiner, self.log, timers, seeds, rng, lambda: NOW_MS)
         # Only what a test calls by hand counts; the timer has a test of its own.
         made._next_check_at = float("inf")
         self.live[own.endpoint] = own
--- a/tests/operators/test_client.py
+++ b/tests/operators/test_client.py
@@ -8,7 +8,7 @@
 from bulrushflow.configuration import Configure
 from bulrushflow.configuration import ServiceBody
 from bulrushflow.operators.client import OperatorClient
-from tests.recording.test_http import StandinBench
+from tests.recording.test_http import StandinFixture
 
 FIRST = Configure(1, "p1", "ana", services={"plots": ServiceBody("v1")})
 OTHER = Configure(1, "p1", "bojan", services={"plots": ServiceBody("v2")})
@@ -17,7 +17,7 @@
 
 class PublishTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.bench = StandinBench(1000.0, 5.0)
+        self.bench = StandinFixture(1000.0, 5.0)
         await self.bench.start()
         self.addAsyncCleanup(self.bench.stop)
         self.store = ConfigurationStore()
--- a/tests/operators/test_endpoint.py
+++ b/tests/operators/test_endpoint.py
@@ -94,7 +94,9 @@
         (await self.client.publish(PLOTS)).unwrap()
         verdict = (await self.client.publish(start_move())).unwrap()
         self.log.faults.down = True
-        self.node.shared_moves.merge(SharedRollout(verdict.offset, 10, True, "errors", "velenje-1"))
+        self.node.shared_rollouts.merge(
+            SharedRollout(verdict.offset, 10, True, "errors", "velenje-1")
+        )
         final = FinishRollout(1, "m/taken-back", "m", True, "errors", "9 of 10", "velenje-1")
         self.node.recorder.submit(final)
         unrecorded = await self.get_json("/unrecorded")
--- a/tests/operators/test_publishing.py
+++ b/tests/operators/test_publishing.py
@@ -4,7 +4,7 @@
 from bulrushflow.configuration import ServiceBody
 from bulrushflow.operators.client import OperatorClient
 from bulrushflow.recording import CONFIGURATION_STREAM
-from bulrushflow.recording import INTRODUCTION_STREAM
+from bulrushflow.recording import SEED_RECORD_STREAM
 from tests.operators.nodes import NodeTestCase
 from tests.processes.programs import until
 
@@ -15,7 +15,7 @@
 
 class PublishTests(NodeTestCase):
     async def introduced(self) -> bool:
-        return bool((await self.client.log.tail(INTRODUCTION_STREAM, 1)).unwrap().records)
+        return bool((await self.client.log.tail(SEED_RECORD_STREAM, 1)).unwrap().records)
 
     async def test_a_record_counts_once_whatever_answers_are_lost(self) -> None:
         await until(self.introduced, "the node's introduction, the only other append")
--- a/tests/recording/contract.py
+++ b/tests/recording/contract.py
@@ -9,7 +9,7 @@
 STREAM = "configuration"
 
 
-class LogBench(t.Protocol):
+class LogFixture(t.Protocol):
     """A log under test and the faults it can be given."""
 
     @property
@@ -32,7 +32,7 @@
 class LogContract:
     """Tests to mix into an ``IsolatedAsyncioTestCase`` that sets ``bench``."""
 
-    bench: LogBench
+    bench: LogFixture
     appends_per_s = 20
     """Rate limit that the bench starts its log with."""
 
--- a/tests/recording/fakes.py
+++ b/tests/recording/fakes.py
@@ -15,12 +15,12 @@
 
 
 class MemoryLog:
-    """One stream; ``errors`` are given to the next appends, ``lost`` of them after the write."""
+    """One stream; the next appends fail with ``errors``, or after the write if responses are lost."""
 
     def __init__(self, bodies: list[bytes] | None = None, page_records: int = 4) -> None:
         self.records = [LogRecord(i, 1000 + i, b) for i, b in enumerate(bodies or [])]
         self.errors: list[LogError] = []
-        self.lost = 0
+        self.lost_responses = 0
         self.down = False
         self.next_offset_shown: int | None = None
         self.reads = 0
@@ -47,8 +47,8 @@
         if self.down:
             return Err(DOWN)
         offset = self.add(body)
-        if self.lost:
-            self.lost -= 1
+        if self.lost_responses:
+            self.lost_responses -= 1
             return Err(DOWN)
         return Ok(offset)
 
--- a/tests/recording/test_http.py
+++ b/tests/recording/test_http.py
@@ -13,7 +13,7 @@
 from tests.recording.contract import LogContract
 
 
-class StandinBench:
+class StandinFixture:
     """A stand-in in this process on a port picked by the system."""
 
     def __init__(self, appends_per_s: float, timeout_s: float) -> None:
@@ -52,7 +52,7 @@
 
 class HttpLogTests(LogContract, unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        bench = StandinBench(self.appends_per_s, 1.0)
+        bench = StandinFixture(self.appends_per_s, 1.0)
         await bench.start()
         self.addAsyncCleanup(bench.stop)
         self.bench = bench
--- a/tests/recording/test_recorder.py
+++ b/tests/recording/test_recorder.py
@@ -34,40 +34,40 @@
                 record = FinishRollout(1, name, "m", False, "healthy", "", "n1")
                 self.recorder.submit(record)
                 self.recorder.submit(record)
-                await until(lambda: not self.recorder.unrecorded())
+                await until(lambda: not self.recorder.pending_records())
                 self.store.apply(self.log.records)
                 self.assertIn(name, self.store.current.verdicts_by_publish_id)
         self.assertEqual(len(self.log.records), len(cases))
 
     async def test_a_verdict_seen_stops_the_retry_after_a_lost_answer(self) -> None:
-        self.log.lost = 1
+        self.log.lost_responses = 1
         self.log.errors = []
         self.recorder.submit(FINISH)
         await until(lambda: len(self.log.records) == 1)
         self.log.down = True
         self.store.apply(self.log.records)
-        await until(lambda: not self.recorder.unrecorded())
+        await until(lambda: not self.recorder.pending_records())
         # The next record must not wait behind the one that is known by now.
         self.log.down = False
         self.recorder.submit(FinishRollout(1, "other", "m", False, "healthy", "", "n1"))
-        await until(lambda: not self.recorder.unrecorded())
+        await until(lambda: not self.recorder.pending_records())
         self.assertEqual(len(self.log.records), 2)
 
     async def test_a_record_known_to_the_store_is_not_appended(self) -> None:
         self.log.add(b'{"schema":1,"publish_id":"m/done","kind":"x"}')
         self.store.apply(self.log.records)
         self.recorder.submit(FINISH)
-        self.assertEqual(self.recorder.unrecorded(), [])
+        self.assertEqual(self.recorder.pending_records(), [])
 
     async def test_a_record_that_is_no_longer_current_is_dropped_unwritten(self) -> None:
         self.log.down = True
         current = True
         self.recorder.submit(FINISH, lambda: current)
         await asyncio.sleep(0)
-        self.assertEqual(self.recorder.unrecorded(), [FINISH])
+        self.assertEqual(self.recorder.pending_records(), [FINISH])
         current = False
         self.log.down = False
-        await until(lambda: not self.recorder.unrecorded())
+        await until(lambda: not self.recorder.pending_records())
         self.assertEqual(self.log.records, [])
 
     def test_the_spacing_keeps_the_whole_fleet_below_its_rate(self) -> None:
--- a/tests/recording/test_recovery.py
+++ b/tests/recording/test_recovery.py
@@ -11,7 +11,7 @@
 from bulrushflow.configuration import encode_record
 from bulrushflow.configuration import fold_records
 from bulrushflow.configuration import make_snapshot
-from bulrushflow.recording import recover
+from bulrushflow.recording import recover_from_snapshot
 from tests.recording.fakes import MemoryLog
 
 
@@ -47,7 +47,7 @@
             with self.subTest(name):
                 whole = fold_records(EMPTY_CONFIGURATION, log.records).configuration
                 del log.records[:first]
-                found = (await recover(log, -1, first, 8)).unwrap()
+                found = (await recover_from_snapshot(log, -1, first, 8)).unwrap()
                 self.assertEqual(found.configuration.offset, snapshot_offset)
                 folded = fold_records(found.configuration, found.records).configuration
                 self.assertEqual(digest(folded), digest(whole))
@@ -63,10 +63,11 @@
             with self.subTest(name):
                 del log.records[:first]
                 self.assertIn(
-                    "no usable snapshot", (await recover(log, held, first, 8)).unwrap_err()
+                    "no usable snapshot",
+                    (await recover_from_snapshot(log, held, first, 8)).unwrap_err(),
                 )
 
     async def test_a_log_that_is_down_is_an_error(self) -> None:
         log = log_with_snapshots(12)
         log.down = True
-        self.assertEqual((await recover(log, -1, 0, 8)).unwrap_err(), "down")
+        self.assertEqual((await recover_from_snapshot(log, -1, 0, 8)).unwrap_err(), "down")
--- a/tests/recording/test_snapshots.py
+++ b/tests/recording/test_snapshots.py
@@ -52,7 +52,7 @@
 
     async def test_two_writers_and_a_lost_answer_do_no_more_than_repeat(self) -> None:
         log = MemoryLog([change(i) for i in range(5)])
-        log.lost = 1
+        log.lost_responses = 1
         writers = [self.writer(log, True) for _ in range(2)]
         for writer, _ in writers:
             await writer.check()
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -26,32 +26,32 @@
         self.clock = ManualClock()
         self.timers = Timers(random.Random(1), self.clock)
         self.stalls: list[float] = []
-        self.timers.subscribe_stall(self.stalls.append)
+        self.timers.subscribe_pause(self.stalls.append)
         await self.timers.start()
         self.addAsyncCleanup(self.timers.stop)
 
     async def test_an_ordinary_heartbeat_is_no_stall(self) -> None:
         self.clock.now += HEARTBEAT_S
-        self.timers.check_stall()
+        self.timers.check_pause()
         self.assertEqual(self.stalls, [])
-        self.assertFalse(self.timers.stalled_since(100.0))
+        self.assertFalse(self.timers.paused_since(100.0))
 
     async def test_a_pause_is_reported_once_with_its_seconds(self) -> None:
         self.clock.now += 5.0
-        self.timers.check_stall()
-        self.timers.check_stall()
+        self.timers.check_pause()
+        self.timers.check_pause()
         self.assertEqual(self.stalls, [5.0])
 
     async def test_a_round_that_spans_a_pause_is_told_from_a_later_one(self) -> None:
         began = self.clock.now
         self.clock.now += 2 * STALL_S
-        self.assertTrue(self.timers.stalled_since(began))
+        self.assertTrue(self.timers.paused_since(began))
         self.clock.now += 0.1
-        self.assertFalse(self.timers.stalled_since(self.clock.now))
+        self.assertFalse(self.timers.paused_since(self.clock.now))
 
     async def test_the_heartbeat_finds_a_pause_that_nobody_asks_for(self) -> None:
         found = asyncio.Event()
-        self.timers.subscribe_stall(lambda _: found.set())
+        self.timers.subscribe_pause(lambda _: found.set())
         self.clock.now += 3.0
         async with asyncio.timeout(30):
             await found.wait()
