--- a/src/bulrushflow/nodes/anti_entropy.py
+++ b/src/bulrushflow/nodes/anti_entropy.py
@@ -10,9 +10,9 @@
 from bulrushflow.wire import messages
 from bulrushflow.wire.links import Endpoint
 
-COMPARE_PERIODS = 6
+MIN_START_PERIODS = 6
 """Periods of the probes between two comparisons that this node starts, at least."""
-ANSWER_PERIODS = 1
+MIN_RESPONSE_PERIODS = 1
 """Periods of the probes between two comparisons that this node answers, at least."""
 MAX_DATAGRAMS = 6
 MAX_BUCKET_MEMBERS = 40
@@ -40,7 +40,7 @@
         period_s: float,
         rng: random.Random,
         send: SendDatagram,
-        fetch_whole: t.Callable[[Endpoint], None],
+        fetch_table: t.Callable[[Endpoint], None],
     ) -> None:
         self._table = table
         self._composer = composer
@@ -48,16 +48,16 @@
         self._period_s = period_s
         self._rng = rng
         self._send = send
-        self._fetch_whole = fetch_whole
-        self._compare_after = float("-inf")
-        self._answer_after = float("-inf")
+        self._fetch_table = fetch_table
+        self._start_after = float("-inf")
+        self._respond_after = float("-inf")
 
     def compare_digest(self, endpoint: Endpoint, digest: int | None) -> None:
         """Start a comparison with a node whose table differs, unless one was started lately."""
         now = self._timers.now()
-        if digest is None or digest == self._table.digest() or now < self._compare_after:
+        if digest is None or digest == self._table.digest() or now < self._start_after:
             return
-        self._compare_after = now + COMPARE_PERIODS * self._period_s * self._rng.uniform(0.8, 1.2)
+        self._start_after = now + MIN_START_PERIODS * self._period_s * self._rng.uniform(0.8, 1.2)
         digests = messages.BucketDigests(digests=self._table.bucket_digests())
         self._send("digests", endpoint, bucket_digests=digests)
 
@@ -65,26 +65,26 @@
         """Send the members of some buckets that differ, and ask for the other node's."""
         now = self._timers.now()
         differing = self._table.differing_buckets(packed)
-        if not differing or now < self._answer_after:
+        if not differing or now < self._respond_after:
             return
-        self._answer_after = now + ANSWER_PERIODS * self._period_s
+        self._respond_after = now + MIN_RESPONSE_PERIODS * self._period_s
         members = self._table.in_buckets(differing)
         if len(members) > WHOLE_TABLE_MEMBERS:
             request = messages.BucketRequest(buckets=[], whole_table=True)
             self._send("buckets", endpoint, bucket_request=request)
             return
-        buckets = self._pick(differing)
+        buckets = self._pick_buckets(differing)
         request = messages.BucketRequest(buckets=buckets, whole_table=False)
         self._send_members(endpoint, buckets, bucket_request=request)
 
     def handle_bucket_request(self, endpoint: Endpoint, request: t.Any) -> None:
         """Send the members of the buckets asked for, or fetch the whole table."""
         if request.whole_table:
-            self._fetch_whole(endpoint)
+            self._fetch_table(endpoint)
             return
         self._send_members(endpoint, request.buckets or ())
 
-    def _pick(self, differing: list[int]) -> list[int]:
+    def _pick_buckets(self, differing: list[int]) -> list[int]:
         """Return buckets at random up to a number of members, so that repeats reach them all."""
         picked: list[int] = []
         count = 0
--- a/src/bulrushflow/nodes/detector.py
+++ b/src/bulrushflow/nodes/detector.py
@@ -19,10 +19,10 @@
 from bulrushflow.timers import Timers
 
 RECONNECT_PERIODS = 4
-RECONNECT_BURST = 10
+MAX_RECONNECT_PROBES = 10
 """Members held dead that are asked in one go, as long as they answer."""
 REAP_S = 5.0
-REFRESH_LIMIT_S = 10.0
+MAX_POST_PAUSE_GRACE_S = 10.0
 """After a pause, the time after which a node judges others though nobody has answered it."""
 
 
@@ -52,22 +52,22 @@
         settings: GossipSettings,
         rng: random.Random,
         pinger: Pinger,
-        on_changed: t.Callable[[Member], None],
+        on_status_raised: t.Callable[[Member], None],
     ) -> None:
         self._table = table
         self._timers = timers
         self._settings = settings
         self._rng = rng
         self._pinger = pinger
-        self._on_changed = on_changed
+        self._on_status_raised = on_status_raised
         self._order = ProbeOrder(rng)
         self._health = LocalHealth()
-        self._stalled_at: float | None = None
+        self._pause_ended_at: float | None = None
         """When the last pause ended, until a member has answered since."""
 
     def start(self) -> None:
         """Begin to probe."""
-        self._timers.subscribe_pause(self._take_stall)
+        self._timers.subscribe_pause(self._handle_pause)
         self._timers.subscribe("probe", self._settings.period_s, self.probe_next)
         self._timers.subscribe("suspicion", self._settings.period_s, self.expire_suspects)
         reconnect_s = RECONNECT_PERIODS * self._settings.period_s
@@ -83,36 +83,36 @@
         timeout_s = self._settings.ack_timeout_s * self._health.multiplier
         if await self._pinger.ping(member, timeout_s):
             self._health.record_ack()
-            self._note_answer(began)
+            self._record_response(began)
             return
         if await self._pinger.ping_indirectly(member, 2 * timeout_s):
-            self._note_answer(began)
+            self._record_response(began)
             return
         if self._timers.paused_since(began):
             return
         if not self._pinger.received_since(began):
             # With others heard meanwhile, it is the probed one that is at fault.
             self._health.record_silence()
-        if self._is_refreshed():
-            self._raise(member.node_id, Status.SUSPECT)
+        if self._may_raise_status():
+            self._raise_status(member.node_id, Status.SUSPECT)
 
     async def expire_suspects(self) -> None:
         """Declare dead the members that have not refuted their suspicion in time."""
         self._timers.check_pause()
-        if not self._is_refreshed():
+        if not self._may_raise_status():
             return
         now = self._timers.now()
-        limit_s = suspicion_timeout_s(self._settings.suspicion_s, len(self._table.live_members()))
+        timeout_s = suspicion_timeout_s(self._settings.suspicion_s, len(self._table.live_members()))
         for member in self._table.suspects():
-            if now - self._table.changed_at(member.node_id) >= limit_s:
-                self._raise(member.node_id, Status.DEAD)
+            if now - self._table.changed_at(member.node_id) >= timeout_s:
+                self._raise_status(member.node_id, Status.DEAD)
 
     async def reconnect(self) -> None:
         """Ask members held dead, at random, since a network may only have been cut.
 
         The one that answers learns what is held of it and refutes that.
         """
-        for _ in range(RECONNECT_BURST):
+        for _ in range(MAX_RECONNECT_PROBES):
             dead = self._table.dead()
             if not dead:
                 return
@@ -121,26 +121,26 @@
                 return
             logger.info("member {} was held dead and answers", member.node_id)
 
-    def _raise(self, node_id: str, status: Status) -> None:
-        claim = self._table.raise_status(node_id, status, self._timers.now())
-        if claim is not None:
+    def _raise_status(self, node_id: str, status: Status) -> None:
+        update = self._table.raise_status(node_id, status, self._timers.now())
+        if update is not None:
             logger.info("member {} is held {}", node_id, status.name.lower())
-            self._on_changed(claim)
+            self._on_status_raised(update)
 
-    def _take_stall(self, seconds: float) -> None:
-        self._stalled_at = self._timers.now()
+    def _handle_pause(self, seconds: float) -> None:
+        self._pause_ended_at = self._timers.now()
         self._health.record_pause()
-        self._table.restart_suspicion_timeouts(self._stalled_at)
+        self._table.restart_suspicion_timeouts(self._pause_ended_at)
         self._pinger.probe_random_members()
 
-    def _note_answer(self, began: float) -> None:
-        if self._stalled_at is not None and began >= self._stalled_at:
-            self._stalled_at = None
+    def _record_response(self, began: float) -> None:
+        if self._pause_ended_at is not None and began >= self._pause_ended_at:
+            self._pause_ended_at = None
 
-    def _is_refreshed(self) -> bool:
-        if self._stalled_at is None:
+    def _may_raise_status(self) -> bool:
+        if self._pause_ended_at is None:
             return True
-        return self._timers.now() - self._stalled_at >= REFRESH_LIMIT_S
+        return self._timers.now() - self._pause_ended_at >= MAX_POST_PAUSE_GRACE_S
 
     async def _reap(self) -> None:
         self._table.reap(self._timers.now())
--- a/src/bulrushflow/nodes/exchange.py
+++ b/src/bulrushflow/nodes/exchange.py
@@ -17,35 +17,35 @@
 
 PAGE_MEMBERS = 200
 PAGE_TIMEOUT_S = 2.0
-FIRST_ASKED = 3
+FIRST_PAGE_REQUESTS = 3
 """Nodes asked at once for the first page, since some addresses may be out of date."""
 MAX_PAGE_FAILURES = 8
 MAX_BACKOFF_S = 5.0
-REFERRALS = 8
+MAX_REFERRALS = 8
 BURST_BYTES = 1_000_000
 REFILL_BYTES_PER_S = 16_000.0
 
-Merge = t.Callable[[t.Any, Endpoint | None, bool], None]
+MergeGossip = t.Callable[[t.Any, Endpoint | None, bool], None]
 
 
 class PageBudget:
     """Bytes of pages that this node serves: a burst, then a steady rate."""
 
-    __slots__ = ("_left", "_refilled_at")
+    __slots__ = ("_available", "_refilled_at")
 
     def __init__(self) -> None:
-        self._left = float(BURST_BYTES)
+        self._available = float(BURST_BYTES)
         self._refilled_at: float | None = None
 
     def try_consume(self, count: int, now: float) -> bool:
         """Take bytes for one page; ``False`` when there are too few."""
         if self._refilled_at is not None:
-            earned = (now - self._refilled_at) * REFILL_BYTES_PER_S
-            self._left = min(BURST_BYTES, self._left + earned)
+            replenished = (now - self._refilled_at) * REFILL_BYTES_PER_S
+            self._available = min(BURST_BYTES, self._available + replenished)
         self._refilled_at = now
-        if self._left < count:
+        if self._available < count:
             return False
-        self._left -= count
+        self._available -= count
         return True
 
 
@@ -61,7 +61,7 @@
         links: Links,
         composer: MessageComposer,
         rng: random.Random,
-        merge: Merge,
+        merge: MergeGossip,
     ) -> None:
         self._table = table
         self._links = links
@@ -92,31 +92,33 @@
     async def serve(self, request: t.Any) -> dict[str, t.Any]:
         """Serve one page, or name a few members to ask instead."""
         self._merge(request.gossip, None, True)
-        overruling = self._overruling(request.gossip)
+        to_refute = self._updates_to_refute(request.gossip)
         after = request.after or ""
         if not after and request.gossip.digest == self._table.digest():
-            return self._page(overruling, True)
+            return self._page(to_refute, True)
         members = self._members_after(after)
         size = sum(codec.member_size(m) for m in members)
         if not self._budget.try_consume(size, asyncio.get_running_loop().time()):
             others = self._table.live_peers()
-            referrals = self._rng.sample(others, min(REFERRALS, len(others)))
-            return self._page([*overruling, *referrals], not after, busy=True)
+            referrals = self._rng.sample(others, min(MAX_REFERRALS, len(others)))
+            return self._page([*to_refute, *referrals], not after, busy=True)
         next_after = members[-1].node_id if len(members) == PAGE_MEMBERS else None
-        return self._page([*overruling, *members], not after, next_after=next_after)
+        return self._page([*to_refute, *members], not after, next_after=next_after)
 
-    def _page(self, members: list[Member], with_moves: bool, **fields: t.Any) -> dict[str, t.Any]:
-        gossip = self._composer.frame_gossip(members, with_moves)
+    def _page(
+        self, members: list[Member], with_rollouts: bool, **fields: t.Any
+    ) -> dict[str, t.Any]:
+        gossip = self._composer.frame_gossip(members, with_rollouts)
         return {"members": messages.Members(gossip=gossip, **fields)}
 
-    def _overruling(self, gossip: t.Any) -> list[Member]:
+    def _updates_to_refute(self, gossip: t.Any) -> list[Member]:
         """Return what the asker has to refute, found through its own entry."""
         for message in gossip.members or ():
             if message.node_id == gossip.sender:
-                held = self._table.update_to_refute(
+                current = self._table.update_to_refute(
                     message.node_id, message.incarnation, (message.address, message.peer_port)
                 )
-                return [held] if held is not None else []
+                return [current] if current is not None else []
         return []
 
     def _members_after(self, after: str) -> list[Member]:
@@ -131,7 +133,7 @@
         """Return the first answer among a few nodes asked at once; others' answers are dropped."""
         tasks = {
             asyncio.create_task(self._fetch(endpoint, "")): endpoint
-            for endpoint in endpoints[:FIRST_ASKED]
+            for endpoint in endpoints[:FIRST_PAGE_REQUESTS]
         }
         pending = set(tasks)
         try:
--- a/src/bulrushflow/nodes/gossip.py
+++ b/src/bulrushflow/nodes/gossip.py
@@ -16,7 +16,7 @@
 from bulrushflow.nodes.anti_entropy import AntiEntropy
 from bulrushflow.nodes.composing import MessageComposer
 from bulrushflow.nodes.composing import UpdateSelection
-from bulrushflow.nodes.composing import priority
+from bulrushflow.nodes.composing import update_priority
 from bulrushflow.nodes.datagrams import DatagramTransport
 from bulrushflow.nodes.datagrams import OpenTransport
 from bulrushflow.nodes.datagrams import open_udp
@@ -34,13 +34,13 @@
 
 FANOUT = 3
 """Members told at once of urgent news, and members that probe indirectly."""
-SPREAD_S = 0.1
+MIN_DISSEMINATION_INTERVAL_S = 0.1
 """Shortest time between two such rounds that other nodes' news causes."""
 CONFLICTS_BEFORE_ERROR = 3
 CONFLICTS_PER_ERROR = 100
 
-AheadCallback = t.Callable[[Endpoint, int], None]
-MembersCallback = t.Callable[[], None]
+PeerAheadCallback = t.Callable[[Endpoint, int], None]
+MembersChangedCallback = t.Callable[[], None]
 CountBytes = t.Callable[[str, str, int], None]
 
 
@@ -59,7 +59,7 @@
         settings: GossipSettings,
         rng: random.Random,
         applied_offset: t.Callable[[], int],
-        on_peer_ahead: AheadCallback,
+        on_peer_ahead: PeerAheadCallback,
         on_bytes: CountBytes | None = None,
         open_transport: OpenTransport = open_udp,
     ) -> None:
@@ -78,16 +78,18 @@
         self._on_bytes = on_bytes
         self._open_transport = open_transport
         self._transport: DatagramTransport | None = None
-        self._on_members_changed: list[MembersCallback] = []
-        self._heard_at = float("-inf")
-        self._spread_at = float("-inf")
-        self._spread_timer: asyncio.TimerHandle | None = None
-        self._probes = Prober(self._send, settings.ack_timeout_s)
+        self._on_members_changed: list[MembersChangedCallback] = []
+        self._received_at = float("-inf")
+        self._disseminated_at = float("-inf")
+        self._dissemination_timer: asyncio.TimerHandle | None = None
+        self._prober = Prober(self._send, settings.ack_timeout_s)
         self._composer = MessageComposer(table, shared_rollouts, applied_offset)
         self._exchange = MemberExchange(table, links, self._composer, rng, self._merge)
-        self._detector = FailureDetector(table, timers, settings, rng, self, self._changed)
-        self._synchronizer = AntiEntropy(
-            table, self._composer, timers, settings.period_s, rng, self._send, self._fetch_whole
+        self._detector = FailureDetector(
+            table, timers, settings, rng, self, self._handle_status_raised
+        )
+        self._anti_entropy = AntiEntropy(
+            table, self._composer, timers, settings.period_s, rng, self._send, self._fetch_table
         )
 
     async def on_start(self) -> None:
@@ -96,13 +98,13 @@
         self._detector.start()
 
     async def on_stop(self) -> None:
-        if self._spread_timer is not None:
-            self._spread_timer.cancel()
+        if self._dissemination_timer is not None:
+            self._dissemination_timer.cancel()
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
-    def subscribe(self, callback: MembersCallback) -> None:
+    def subscribe(self, callback: MembersChangedCallback) -> None:
         """Call back after the member table changed."""
         self._on_members_changed.append(callback)
 
@@ -114,8 +116,8 @@
 
     def disseminate_now(self) -> None:
         """Tell a few nodes now instead of with the next probe."""
-        self._spread_at = self._timers.now()
-        for member in self._draw(FANOUT):
+        self._disseminated_at = self._timers.now()
+        for member in self._sample_peers(FANOUT):
             self._send("spread", member.endpoint, ping=messages.Ping(sequence=0))
 
     async def leave(self) -> None:
@@ -131,78 +133,78 @@
 
     async def probe(self, member: Member) -> int | None:
         """Ping one member; return the configuration version it holds, ``None`` without an ack."""
-        ack = await self._probes.ping(member, self._settings.ack_timeout_s)
+        ack = await self._prober.ping(member, self._settings.ack_timeout_s)
         return ack.offset if ack is not None else None
 
     async def ping(self, member: Member, timeout_s: float) -> bool:
         """See :meth:`Pinger.ping`."""
-        return await self._probes.ping(member, timeout_s) is not None
+        return await self._prober.ping(member, timeout_s) is not None
 
     async def ping_indirectly(self, member: Member, timeout_s: float) -> bool:
         """See :meth:`Pinger.ping_indirectly`."""
-        helpers = self._draw(FANOUT, without=member.node_id)
-        return await self._probes.ping_indirectly(member, helpers, timeout_s)
+        helpers = self._sample_peers(FANOUT, exclude=member.node_id)
+        return await self._prober.ping_indirectly(member, helpers, timeout_s)
 
     def received_since(self, instant: float) -> bool:
         """See :meth:`Pinger.received_since`."""
-        return self._heard_at >= instant
+        return self._received_at >= instant
 
     def probe_random_members(self) -> None:
         """See :meth:`Pinger.probe_random_members`."""
-        for member in self._draw(FANOUT):
-            self._probes.send_ping(member)
+        for member in self._sample_peers(FANOUT):
+            self._prober.send_ping(member)
 
     def _receive(self, data: bytes, sender: Endpoint) -> None:
         self.bytes_received += len(data)
-        self._heard_at = self._timers.now()
+        self._received_at = self._timers.now()
         match messages.decode(messages.Datagram, data):
             case Err(reason):
                 logger.warning("malformed datagram from {}: {}", sender, reason)
-                self._count("received", "malformed", len(data))
+                self._count_bytes("received", "malformed", len(data))
                 return
             case Ok(datagram):
                 pass
-        self._count("received", _kind(datagram), len(data))
+        self._count_bytes("received", _datagram_kind(datagram), len(data))
         if datagram.gossip is None:
             return
         self._merge(datagram.gossip, sender, True)
-        overruling = self._overruling(datagram.gossip, sender)
-        equal = datagram.gossip.digest == self.table.digest()
-        if equal:
+        to_refute = self._updates_to_refute(datagram.gossip, sender)
+        tables_equal = datagram.gossip.digest == self.table.digest()
+        if tables_equal:
             self._composer.record_equal_digest()
         if datagram.ping is not None and datagram.ping.sequence:
             ack = messages.Ack(sequence=datagram.ping.sequence)
-            told = UpdateSelection.SUSPICIONS if equal else UpdateSelection.ALL
-            self._send("ack", sender, overruling, told, ack=ack)
-        elif overruling:
-            self._send("spread", sender, overruling)
+            selection = UpdateSelection.SUSPICIONS if tables_equal else UpdateSelection.ALL
+            self._send("ack", sender, to_refute, selection, ack=ack)
+        elif to_refute:
+            self._send("spread", sender, to_refute)
         if datagram.ack is not None:
-            self._take_ack(datagram, sender)
-        if datagram.ping_request is not None and self._probes.may_relay():
-            self.add_future(self._probes.relay(datagram.ping_request, sender))
+            self._handle_ack(datagram, sender)
+        if datagram.ping_request is not None and self._prober.may_relay():
+            self.add_future(self._prober.relay(datagram.ping_request, sender))
         if datagram.bucket_digests is not None:
-            self._synchronizer.handle_digests(
+            self._anti_entropy.handle_digests(
                 sender, codec.digests_from_message(datagram.bucket_digests)
             )
         if datagram.bucket_request is not None:
-            self._synchronizer.handle_bucket_request(sender, datagram.bucket_request)
+            self._anti_entropy.handle_bucket_request(sender, datagram.bucket_request)
 
-    def _take_ack(self, datagram: t.Any, sender: Endpoint) -> None:
+    def _handle_ack(self, datagram: t.Any, sender: Endpoint) -> None:
         gossip = datagram.gossip
-        self._probes.handle_ack(datagram.ack.sequence, Ack(gossip.sender, gossip.offset))
-        self._synchronizer.compare_digest(sender, gossip.digest)
+        self._prober.handle_ack(datagram.ack.sequence, Ack(gossip.sender, gossip.offset))
+        self._anti_entropy.compare_digest(sender, gossip.digest)
 
-    def _overruling(self, gossip: t.Any, sender: Endpoint) -> tuple[Member, ...]:
+    def _updates_to_refute(self, gossip: t.Any, sender: Endpoint) -> tuple[Member, ...]:
         """Return what the sender of a datagram has to refute to be taken for alive."""
         if gossip.incarnation is None or gossip.sender == self.table.own_id:
             return ()
-        held = self.table.update_to_refute(gossip.sender, gossip.incarnation, sender)
-        if held is None:
+        current = self.table.update_to_refute(gossip.sender, gossip.incarnation, sender)
+        if current is None:
             return ()
-        left = held.status is Status.LEFT and held.incarnation == gossip.incarnation
-        return () if left else (held,)
+        left = current.status is Status.LEFT and current.incarnation == gossip.incarnation
+        return () if left else (current,)
 
-    def _merge(self, gossip: t.Any, sender: Endpoint | None, is_news: bool) -> None:
+    def _merge(self, gossip: t.Any, sender: Endpoint | None, disseminate: bool) -> None:
         """Take in gossip; what changed the table is passed on when it is news.
 
         A sender that is held dead was on the other side of a partition, so neither side
@@ -210,125 +212,127 @@
         """
         now = self._timers.now()
         changed = False
-        reconnected = self._is_held_dead(gossip)
+        reconnected = self._is_sender_recorded_dead(gossip)
         if reconnected:
             self._composer.discard_suspect_and_dead()
         for message in gossip.members or ():
             try:
-                claim = codec.member_from_message(message)
+                update = codec.member_from_message(message)
             except ValueError as exc:
                 logger.warning("member with an unknown state passed over: {}", exc)
                 continue
-            if reconnected and not claim.is_self_reported and claim.node_id != self.table.own_id:
+            if reconnected and not update.is_self_reported and update.node_id != self.table.own_id:
                 continue
-            if self._merge_member(claim, sender, is_news, now):
+            if self._merge_member(update, sender, disseminate, now):
                 changed = True
         if changed:
             self._members_changed()
         for message in gossip.moves or ():
             if self._shared_rollouts.merge(codec.move_from_message(message)):
-                self._spread_soon()
+                self._disseminate_soon()
         self.highest_seen_offset = max(self.highest_seen_offset, gossip.offset)
         if sender is not None and gossip.offset > self._applied_offset():
             self._on_peer_ahead(sender, gossip.offset)
 
-    def _is_held_dead(self, gossip: t.Any) -> bool:
-        held = self.table.by_id.get(gossip.sender)
-        return held is not None and held.status is Status.DEAD
+    def _is_sender_recorded_dead(self, gossip: t.Any) -> bool:
+        current = self.table.by_id.get(gossip.sender)
+        return current is not None and current.status is Status.DEAD
 
     def _merge_member(
-        self, claim: Member, sender: Endpoint | None, is_news: bool, now: float
+        self, update: Member, sender: Endpoint | None, disseminate: bool, now: float
     ) -> bool:
-        before = self.table.by_id.get(claim.node_id)
-        conflicts = self.table.conflicts_by_id.get(claim.node_id, 0)
-        changed = self.table.merge(claim, now)
-        if self.table.conflicts_by_id.get(claim.node_id, 0) != conflicts:
-            self._report_conflict(claim, conflicts + 1)
+        before = self.table.by_id.get(update.node_id)
+        conflicts = self.table.conflicts_by_id.get(update.node_id, 0)
+        changed = self.table.merge(update, now)
+        if self.table.conflicts_by_id.get(update.node_id, 0) != conflicts:
+            self._report_conflict(update, conflicts + 1)
         if not changed:
             return False
-        held = self.table.by_id[claim.node_id]
-        if before is not None and before.status is Status.DEAD and held.is_live:
+        current = self.table.by_id[update.node_id]
+        if before is not None and before.status is Status.DEAD and current.is_live:
             self._composer.discard_suspect_and_dead()
-        if held.node_id == self.table.own_id:
-            logger.info("refuted that this node is {}", claim.status.name.lower())
-            self._composer.enqueue(held)
+        if current.node_id == self.table.own_id:
+            logger.info("refuted that this node is {}", update.status.name.lower())
+            self._composer.enqueue(current)
             if sender is not None:
-                self._send("spread", sender, (held,))
-            self._spread_soon()
-        elif is_news:
-            self._composer.enqueue(held)
-            if priority(held) is UpdatePriority.URGENT:
-                self._spread_soon()
+                self._send("spread", sender, (current,))
+            self._disseminate_soon()
+        elif disseminate:
+            self._composer.enqueue(current)
+            if update_priority(current) is UpdatePriority.URGENT:
+                self._disseminate_soon()
         return True
 
-    def _report_conflict(self, claim: Member, count: int) -> None:
+    def _report_conflict(self, update: Member, count: int) -> None:
         if count != CONFLICTS_BEFORE_ERROR and count % CONFLICTS_PER_ERROR:
             return
         logger.error(
             "several processes use the node id {}: claims moved {} times, now to {}:{}",
-            claim.node_id,
+            update.node_id,
             count,
-            *claim.endpoint,
+            *update.endpoint,
         )
 
-    def _changed(self, claim: Member) -> None:
-        self._composer.enqueue(claim)
+    def _handle_status_raised(self, update: Member) -> None:
+        self._composer.enqueue(update)
         self._members_changed()
-        if claim.status is Status.SUSPECT:
+        if update.status is Status.SUSPECT:
             # Told first, the suspected one may refute before the others have heard.
-            self._send("spread", claim.endpoint, (claim,))
-            self._spread_soon()
+            self._send("spread", update.endpoint, (update,))
+            self._disseminate_soon()
 
-    def _fetch_whole(self, endpoint: Endpoint) -> None:
+    def _fetch_table(self, endpoint: Endpoint) -> None:
         self.add_future(self._exchange.join([endpoint]))
 
     def _members_changed(self) -> None:
         for callback in self._on_members_changed:
             callback()
 
-    def _spread_soon(self) -> None:
+    def _disseminate_soon(self) -> None:
         """Pass news on at once, but only so often when much of it comes."""
-        if self._spread_timer is not None:
+        if self._dissemination_timer is not None:
             return
-        wait_s = self._spread_at + SPREAD_S - self._timers.now()
+        wait_s = self._disseminated_at + MIN_DISSEMINATION_INTERVAL_S - self._timers.now()
         if wait_s <= 0:
             self.disseminate_now()
             return
-        self._spread_timer = asyncio.get_running_loop().call_later(wait_s, self._spread_later)
+        self._dissemination_timer = asyncio.get_running_loop().call_later(
+            wait_s, self._disseminate_delayed
+        )
 
-    def _spread_later(self) -> None:
-        self._spread_timer = None
+    def _disseminate_delayed(self) -> None:
+        self._dissemination_timer = None
         self.disseminate_now()
 
-    def _draw(self, count: int, without: str = "") -> list[Member]:
+    def _sample_peers(self, count: int, exclude: str = "") -> list[Member]:
         others = self.table.live_peers()
-        drawn = self._rng.sample(others, min(count + 1, len(others)))
-        return [m for m in drawn if m.node_id != without][:count]
+        sampled = self._rng.sample(others, min(count + 1, len(others)))
+        return [m for m in sampled if m.node_id != exclude][:count]
 
     def _send(
         self,
         kind: str,
         endpoint: Endpoint,
         extra: t.Sequence[Member] = (),
-        told: UpdateSelection = UpdateSelection.ALL,
+        selection: UpdateSelection = UpdateSelection.ALL,
         **body: t.Any,
     ) -> None:
         if self._transport is None:
             return
         # What is told to a member held dead would reach the other side of a partition.
         if any(m.status is Status.DEAD and m.endpoint == endpoint for m in extra):
-            told = UpdateSelection.NOTHING
-        data = self._composer.encode_datagram(extra, told, **body)
+            selection = UpdateSelection.NOTHING
+        data = self._composer.encode_datagram(extra, selection, **body)
         self.bytes_sent += len(data)
-        self._count("sent", kind, len(data))
+        self._count_bytes("sent", kind, len(data))
         self._transport.sendto(data, endpoint)
 
-    def _count(self, direction: str, kind: str, count: int) -> None:
+    def _count_bytes(self, direction: str, kind: str, count: int) -> None:
         if self._on_bytes is not None:
             self._on_bytes(direction, kind, count)
 
 
-def _kind(datagram: t.Any) -> str:
+def _datagram_kind(datagram: t.Any) -> str:
     if datagram.ping is not None:
         return "probe" if datagram.ping.sequence else "spread"
     if datagram.ack is not None:
--- a/src/bulrushflow/nodes/probing.py
+++ b/src/bulrushflow/nodes/probing.py
@@ -31,14 +31,14 @@
         self._relay_timeout_s = relay_timeout_s
         self._sequences = itertools.count(1)
         self._acks_by_sequence: dict[int, asyncio.Future[Ack]] = {}
-        self._relays = 0
+        self._active_relays = 0
 
     async def ping(self, member: Member, timeout_s: float) -> Ack | None:
         """Ping a member; only an answer of that member itself counts.
 
         Another node that took the address over is no sign of life.
         """
-        ack = await self._ack(self.send_ping(member), timeout_s)
+        ack = await self._wait_for_ack(self.send_ping(member), timeout_s)
         return ack if ack is not None and ack.node_id == member.node_id else None
 
     def send_ping(self, member: Member) -> int:
@@ -47,8 +47,8 @@
         A member that is doubted learns it with the probe, so that it can refute at once.
         """
         sequence = next(self._sequences)
-        doubted = (member,) if member.status in (Status.SUSPECT, Status.DEAD) else ()
-        self._send("probe", member.endpoint, doubted, ping=messages.Ping(sequence=sequence))
+        to_refute = (member,) if member.status in (Status.SUSPECT, Status.DEAD) else ()
+        self._send("probe", member.endpoint, to_refute, ping=messages.Ping(sequence=sequence))
         return sequence
 
     async def ping_indirectly(
@@ -64,22 +64,22 @@
         )
         for helper in helpers:
             self._send("indirect", helper.endpoint, ping_request=request)
-        return await self._ack(sequence, timeout_s) is not None
+        return await self._wait_for_ack(sequence, timeout_s) is not None
 
     def may_relay(self) -> bool:
         """Tell whether this node takes on another ping for others."""
-        return self._relays < MAX_RELAYS
+        return self._active_relays < MAX_RELAYS
 
     async def relay(self, request: t.Any, sender: Endpoint) -> None:
         """Ping a node for another one, and pass its ack on."""
-        self._relays += 1
+        self._active_relays += 1
         try:
             sequence = next(self._sequences)
             endpoint = (request.address, request.peer_port)
             self._send("indirect", endpoint, ping=messages.Ping(sequence=sequence))
-            ack = await self._ack(sequence, self._relay_timeout_s)
+            ack = await self._wait_for_ack(sequence, self._relay_timeout_s)
         finally:
-            self._relays -= 1
+            self._active_relays -= 1
         if ack is not None and request.node_id in (None, ack.node_id):
             self._send("ack", sender, ack=messages.Ack(sequence=request.sequence))
 
@@ -89,7 +89,7 @@
         if future is not None and not future.done():
             future.set_result(ack)
 
-    async def _ack(self, sequence: int, timeout_s: float) -> Ack | None:
+    async def _wait_for_ack(self, sequence: int, timeout_s: float) -> Ack | None:
         future: asyncio.Future[Ack] = asyncio.get_running_loop().create_future()
         self._acks_by_sequence[sequence] = future
         try:
--- a/src/bulrushflow/nodes/pulling.py
+++ b/src/bulrushflow/nodes/pulling.py
@@ -20,19 +20,19 @@
 from bulrushflow.wire.links import Links
 
 RECORDS_TIMEOUT_S = 2.0
-PULL_WAIT_S = 0.2
+MAX_PULL_DELAY_S = 0.2
 """Longest random wait before a pull, in which the push of the same records may still come."""
 FIRST_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
 MAX_FAILURES = 8
 """Pulls without progress after which a version that was heard of is given up until heard again."""
-NEAR_SHARE = 0.8
+LOCAL_PULL_FRACTION = 0.8
 """Part of the pulls that stay inside the data centre."""
 SERVED_BYTES_PER_S = 1 << 20
 SERVED_BURST_BYTES = 4 << 20
 MIN_COST_BYTES = 512
 
-Apply = t.Callable[[t.Iterable[LogRecord]], int]
+ApplyRecords = t.Callable[[t.Iterable[LogRecord]], int]
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
     """Asks one peer at a time for what is missing.
 
     :param apply: applies records and returns how many were new.
-    :param on_answer: told of each answer.
+    :param on_result: told of each answer.
     :param generation: tells the generation of the check in progress.
     """
 
@@ -67,8 +67,8 @@
         table: MemberTable,
         links: Links,
         rng: random.Random,
-        apply: Apply,
-        on_answer: t.Callable[[PullResult], None],
+        apply: ApplyRecords,
+        on_result: t.Callable[[PullResult], None],
         generation: t.Callable[[], int],
     ) -> None:
         self._generation = generation
@@ -77,34 +77,34 @@
         self._links = links
         self._rng = rng
         self._apply = apply
-        self._on_answer = on_answer
-        self._asking = asyncio.Lock()
-        self._following = False
-        self._wanted = -1
+        self._on_result = on_result
+        self._pull_lock = asyncio.Lock()
+        self._pulling = False
+        self._goal_offset = -1
         self._source: Endpoint | None = None
 
     def set_goal(self, endpoint: Endpoint, offset: int) -> bool:
         """Note that a peer holds a later version; return whether :meth:`follow` should be run."""
         if offset <= self._store.current.offset or self._store.unsupported:
             return False
-        self._wanted = max(self._wanted, offset)
+        self._goal_offset = max(self._goal_offset, offset)
         self._source = endpoint
-        return not self._following
+        return not self._pulling
 
     async def pull_to_goal(self) -> None:
         """Pull until the wanted version is held, or given up."""
-        if self._following:
+        if self._pulling:
             return
-        self._following = True
+        self._pulling = True
         try:
-            await asyncio.sleep(self._rng.uniform(0, PULL_WAIT_S))
-            await self._pull_wanted()
+            await asyncio.sleep(self._rng.uniform(0, MAX_PULL_DELAY_S))
+            await self._pull_until_goal()
         finally:
-            self._following = False
+            self._pulling = False
 
     async def pull(self, endpoint: Endpoint) -> Result[PullResult, str]:
         """Ask one peer for the records after the version held, and apply them."""
-        async with self._asking:
+        async with self._pull_lock:
             generation = self._generation()
             request = messages.RecordsRequest(from_offset=self._store.current.offset + 1)
             result = await self._links.exchange(
@@ -123,41 +123,41 @@
             if message.snapshot:
                 self._store.restore_packed(message.snapshot)
             self._apply([codec.record_from_message(r) for r in message.records or ()])
-            held = self._store.current.offset
+            current_offset = self._store.current.offset
             # A node of an earlier release does not state its version.
-            offset = held if message.offset is None else message.offset
-            answer = PullResult(
+            offset = current_offset if message.offset is None else message.offset
+            pull_result = PullResult(
                 endpoint,
                 generation,
                 offset,
                 message.fresh is not False,
                 bool(message.reads_log),
                 bool(message.was_fresh),
-                held - before,
+                current_offset - before,
                 len(message.snapshot or b"") + sum(len(r.body) for r in message.records),
             )
-        self._on_answer(answer)
-        return Ok(answer)
+        self._on_result(pull_result)
+        return Ok(pull_result)
 
-    def pick_peer(self, near: bool) -> Member | None:
+    def pick_peer(self, same_data_centre: bool) -> Member | None:
         """Return a random other node, inside this data centre or outside of it if there is one."""
         own = self._table.own
         others = self._table.live_peers()
-        wanted = [m for m in others if (m.data_centre == own.data_centre) is near]
-        candidates = wanted or others
+        preferred = [m for m in others if (m.data_centre == own.data_centre) is same_data_centre]
+        candidates = preferred or others
         return self._rng.choice(candidates) if candidates else None
 
-    async def _pull_wanted(self) -> None:
+    async def _pull_until_goal(self) -> None:
         failures = 0
-        while self._store.current.offset < self._wanted and not self._store.unsupported:
+        while self._store.current.offset < self._goal_offset and not self._store.unsupported:
             endpoint, self._source = self._source, None
             if endpoint is None:
-                member = self.pick_peer(self._rng.random() < NEAR_SHARE)
+                member = self.pick_peer(self._rng.random() < LOCAL_PULL_FRACTION)
                 if member is None:
                     return
                 endpoint = member.endpoint
             match await self.pull(endpoint):
-                case Ok(answer) if answer.new_records > 0:
+                case Ok(pull_result) if pull_result.new_records > 0:
                     failures = 0
                     self._source = endpoint
                     continue
@@ -167,7 +167,7 @@
                     logger.debug("pull from {} failed: {}", endpoint, reason)
             failures += 1
             if failures >= MAX_FAILURES:
-                self._wanted = self._store.current.offset
+                self._goal_offset = self._store.current.offset
                 return
             cap_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2.0**failures)
             await asyncio.sleep(self._rng.uniform(0, cap_s))
@@ -213,18 +213,18 @@
         records = self._store.records_from(request.from_offset)
         if records is None:
             packed = self._store.packed()
-            self._spend(len(packed))
+            self._consume(len(packed))
             return {"records": messages.Records(records=[], snapshot=packed, **own)}
-        self._spend(sum(len(record.body) for record in records))
-        held = [codec.record_to_message(record) for record in records]
-        return {"records": messages.Records(records=held, **own)}
+        self._consume(sum(len(record.body) for record in records))
+        encoded = [codec.record_to_message(record) for record in records]
+        return {"records": messages.Records(records=encoded, **own)}
 
     def _refill(self) -> None:
         now = self._now()
-        earned = (now - self._refilled_at) * SERVED_BYTES_PER_S
-        self._tokens = min(SERVED_BURST_BYTES, self._tokens + earned)
+        replenished = (now - self._refilled_at) * SERVED_BYTES_PER_S
+        self._tokens = min(SERVED_BURST_BYTES, self._tokens + replenished)
         self._refilled_at = now
 
-    def _spend(self, size: int) -> None:
+    def _consume(self, size: int) -> None:
         self._on_sent(size)
         self._tokens -= max(MIN_COST_BYTES, size)
--- a/src/bulrushflow/nodes/seed_discovery.py
+++ b/src/bulrushflow/nodes/seed_discovery.py
@@ -21,21 +21,21 @@
 from bulrushflow.wire.links import Endpoint
 
 TAIL_RECORDS = 128
-FRESH_MS = 10 * 60 * 1000
-RENEW_MS = FRESH_MS // 2
-WANTED_PER_DATA_CENTRE = 2
+MAX_AGE_MS = 10 * 60 * 1000
+RENEWAL_AGE_MS = MAX_AGE_MS // 2
+RECORDS_PER_DATA_CENTRE = 2
 TICK_S = 0.25
-FIRST_WAIT_S = 1.0
+MAX_START_DELAY_S = 1.0
 """Nodes that start together read the log spread over so long."""
 RECHECK_S = 1.0
 MAX_RECHECK_S = 60.0
 MIN_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 10.0
-MAX_WAIT_S = 1.0
+MAX_APPEND_DELAY_S = 1.0
 """Longest random wait before an append, in which another node may append instead."""
-ASKED_AT_ONCE = 3
-MAX_ASKED = 9
-PASSED_OVER_S = 30.0
+JOIN_CONCURRENCY = 3
+MAX_JOIN_ADDRESSES = 9
+UNRESPONSIVE_S = 30.0
 """Time for which an address that did not answer is asked last."""
 
 
@@ -91,16 +91,16 @@
         self._seeds = [e for e in map(parse_endpoint, seeds) if e is not None]
         self._rng = rng
         self._wall_ms = wall_ms
-        self._next_check_at = timers.now() + rng.uniform(0, FIRST_WAIT_S)
+        self._next_check_at = timers.now() + rng.uniform(0, MAX_START_DELAY_S)
         self._recheck_s = RECHECK_S
         self._failures = 0
-        self._silent_until: dict[Endpoint, float] = {}
+        self._unresponsive_until: dict[Endpoint, float] = {}
         timers.subscribe("introductions", TICK_S, self._tick)
 
     async def _tick(self) -> None:
         if self._timers.now() < self._next_check_at:
             return
-        if self._is_alone() or self._is_introducer():
+        if self._has_no_peers() or self._is_publisher():
             await self.check()
         self._next_check_at = self._timers.now() + self._next_wait_s()
 
@@ -112,20 +112,20 @@
                 self._failures += 1
                 await self._join_seeds()
                 return
-            case Ok(posted):
+            case Ok(logged):
                 pass
-        await self._join(posted)
-        if self._is_alone():
+        await self._join(logged)
+        if self._has_no_peers():
             await self._join_seeds()
-        self._failures = self._failures + 1 if self._is_alone() else 0
-        if not self._lacks(posted):
+        self._failures = self._failures + 1 if self._has_no_peers() else 0
+        if not self._should_append(logged):
             return
         # Others that started at the same time may append while this node waits.
-        await asyncio.sleep(self._rng.uniform(0, MAX_WAIT_S))
+        await asyncio.sleep(self._rng.uniform(0, MAX_APPEND_DELAY_S))
         match await self._read():
-            case Ok(posted):
-                await self._join(posted)
-                if self._lacks(posted):
+            case Ok(logged):
+                await self._join(logged)
+                if self._should_append(logged):
                     await self._append()
             case Err(error):
                 logger.warning("reading introductions again failed: {}", error.message)
@@ -139,13 +139,13 @@
         self._recheck_s = min(MAX_RECHECK_S, 2 * self._recheck_s)
         return wait_s * self._rng.uniform(0.8, 1.2)
 
-    def _is_alone(self) -> bool:
+    def _has_no_peers(self) -> bool:
         return not self._table.live_peers()
 
-    def _is_introducer(self) -> bool:
+    def _is_publisher(self) -> bool:
         own = self._table.own
-        near = self._table.in_data_centre(own.data_centre)
-        return is_top_ranked(near, "introducer", own.node_id, WANTED_PER_DATA_CENTRE)
+        local = self._table.in_data_centre(own.data_centre)
+        return is_top_ranked(local, "introducer", own.node_id, RECORDS_PER_DATA_CENTRE)
 
     async def _read(self) -> Result[list[LoggedSeedRecord], LogError]:
         result = await self._log.tail(SEED_RECORD_STREAM, TAIL_RECORDS)
@@ -155,77 +155,79 @@
         by_id: dict[str, LoggedSeedRecord] = {}
         for record in result.ok_value.records:
             age_ms = now_ms - record.appended_at_ms
-            if age_ms > FRESH_MS:
+            if age_ms > MAX_AGE_MS:
                 continue
             try:
-                introduction = msgspec.json.decode(record.body, type=SeedRecord)
+                seed = msgspec.json.decode(record.body, type=SeedRecord)
             except msgspec.DecodeError as exc:
                 logger.warning("introduction at {} passed over: {}", record.offset, exc)
                 continue
-            by_id[introduction.node_id] = LoggedSeedRecord(introduction, age_ms)
+            by_id[seed.node_id] = LoggedSeedRecord(seed, age_ms)
         return Ok(list(by_id.values()))
 
-    async def _join(self, posted: list[LoggedSeedRecord]) -> None:
+    async def _join(self, logged: list[LoggedSeedRecord]) -> None:
         """Join through introduced nodes that are not known, several at a time and bounded.
 
         A node that knows nobody stops at the first answer; the others are then known from it.
         """
-        unknown = [p.introduction for p in posted if self._is_unknown(p.introduction)]
+        unknown = [p.introduction for p in logged if self._is_unknown(p.introduction)]
         self._rng.shuffle(unknown)
         own_data_centre = self._table.own.data_centre
-        unknown.sort(key=lambda i: (self._is_silent(i.endpoint), i.data_centre != own_data_centre))
-        if not self._is_alone():
-            unknown = [i for i in unknown if not self._is_silent(i.endpoint)]
-        for start in range(0, min(MAX_ASKED, len(unknown)), ASKED_AT_ONCE):
-            asked = [i for i in unknown[start : start + ASKED_AT_ONCE] if self._is_unknown(i)]
-            if asked and not await self._gossip.join(*(i.endpoint for i in asked)):
-                self._pass_over(asked)
-
-    def _is_unknown(self, introduction: SeedRecord) -> bool:
-        if introduction.node_id == self._table.own_id:
+        unknown.sort(
+            key=lambda i: (self._is_unresponsive(i.endpoint), i.data_centre != own_data_centre)
+        )
+        if not self._has_no_peers():
+            unknown = [i for i in unknown if not self._is_unresponsive(i.endpoint)]
+        for start in range(0, min(MAX_JOIN_ADDRESSES, len(unknown)), JOIN_CONCURRENCY):
+            batch = [i for i in unknown[start : start + JOIN_CONCURRENCY] if self._is_unknown(i)]
+            if batch and not await self._gossip.join(*(i.endpoint for i in batch)):
+                self._mark_unresponsive(batch)
+
+    def _is_unknown(self, seed: SeedRecord) -> bool:
+        if seed.node_id == self._table.own_id:
             return False
-        held = self._table.by_id.get(introduction.node_id)
-        return held is None or not held.is_live
+        current = self._table.by_id.get(seed.node_id)
+        return current is None or not current.is_live
 
-    def _is_silent(self, endpoint: Endpoint) -> bool:
-        return self._timers.now() < self._silent_until.get(endpoint, float("-inf"))
+    def _is_unresponsive(self, endpoint: Endpoint) -> bool:
+        return self._timers.now() < self._unresponsive_until.get(endpoint, float("-inf"))
 
-    def _pass_over(self, asked: list[SeedRecord]) -> None:
+    def _mark_unresponsive(self, batch: list[SeedRecord]) -> None:
         now = self._timers.now()
-        self._silent_until = {e: u for e, u in self._silent_until.items() if u > now}
-        for introduction in asked:
-            self._silent_until[introduction.endpoint] = now + PASSED_OVER_S
+        self._unresponsive_until = {e: u for e, u in self._unresponsive_until.items() if u > now}
+        for seed in batch:
+            self._unresponsive_until[seed.endpoint] = now + UNRESPONSIVE_S
 
     async def _join_seeds(self) -> None:
         own = self._table.own.endpoint
         seeds = [e for e in self._rng.sample(self._seeds, len(self._seeds)) if e != own]
-        for start in range(0, len(seeds), ASKED_AT_ONCE):
-            if not self._is_alone():
+        for start in range(0, len(seeds), JOIN_CONCURRENCY):
+            if not self._has_no_peers():
                 return
-            await self._gossip.join(*seeds[start : start + ASKED_AT_ONCE])
+            await self._gossip.join(*seeds[start : start + JOIN_CONCURRENCY])
 
-    def _lacks(self, posted: list[LoggedSeedRecord]) -> bool:
-        """Tell whether this node should append its introduction."""
-        if not self._is_alone() and not self._is_introducer():
+    def _should_append(self, logged: list[LoggedSeedRecord]) -> bool:
+        """Tell whether this node should append its seed."""
+        if not self._has_no_peers() and not self._is_publisher():
             return False
         own = self._table.own
-        held = 0
-        for entry in posted:
-            introduction = entry.introduction
-            if introduction.data_centre != own.data_centre or entry.age_ms > RENEW_MS:
+        fresh_records = 0
+        for entry in logged:
+            seed = entry.introduction
+            if seed.data_centre != own.data_centre or entry.age_ms > RENEWAL_AGE_MS:
                 continue
-            if introduction.node_id == own.node_id:
-                if introduction.endpoint == own.endpoint:
+            if seed.node_id == own.node_id:
+                if seed.endpoint == own.endpoint:
                     return False
                 continue
-            if not self._is_unknown(introduction):
-                held += 1
-        return held < WANTED_PER_DATA_CENTRE
+            if not self._is_unknown(seed):
+                fresh_records += 1
+        return fresh_records < RECORDS_PER_DATA_CENTRE
 
     async def _append(self) -> None:
         own = self._table.own
-        introduction = SeedRecord(own.node_id, own.data_centre, own.address, own.peer_port)
-        match await self._log.append(SEED_RECORD_STREAM, msgspec.json.encode(introduction)):
+        seed = SeedRecord(own.node_id, own.data_centre, own.address, own.peer_port)
+        match await self._log.append(SEED_RECORD_STREAM, msgspec.json.encode(seed)):
             case Ok(offset):
                 logger.info("introduced this node at {}", offset)
             case Err(error):
--- a/tests/nodes/dissemination_fleet.py
+++ b/tests/nodes/dissemination_fleet.py
@@ -69,7 +69,7 @@
         return asyncio.get_running_loop().time() + self.ahead_s
 
 
-class FleetTestCase(unittest.IsolatedAsyncioTestCase):
+class DisseminationTestCase(unittest.IsolatedAsyncioTestCase):
     """Starts nodes that know each other; no datagrams are sent, so only pushes and pulls work."""
 
     def setUp(self) -> None:
@@ -77,11 +77,11 @@
         self.nodes: list[FleetNode] = []
         for name in (
             "TICK_S",
-            "FIRST_ASK_S",
-            "MAX_ASK_S",
+            "FIRST_PULL_WAIT_S",
+            "MAX_PULL_WAIT_S",
             "REMOTE_POLL_S",
-            "ALONE_GRACE_S",
-            "ROLE_CHECK_S",
+            "NO_PEERS_GRACE_S",
+            "RANKING_PERIOD_S",
         ):
             patch = mock.patch(f"bulrushflow.nodes.dissemination.{name}", 0.02)
             patch.start()
@@ -121,7 +121,7 @@
                 return await self.add(data_centre, node_id=own.node_id, **options)
         raise AssertionError("no such id")
 
-    def all_hold(self, offset: int) -> bool:
+    def all_at_version(self, offset: int) -> bool:
         """Tell whether every node holds a version."""
         return all(node.store.current.offset == offset for node in self.nodes)
 
--- a/tests/nodes/fleet.py
+++ b/tests/nodes/fleet.py
@@ -18,7 +18,7 @@
 from bulrushflow.wire.links import Endpoint
 from tests.waiting import until
 
-QUICK = GossipSettings(period_s=0.05, ack_timeout_s=0.05, suspicion_s=0.3)
+FAST = GossipSettings(period_s=0.05, ack_timeout_s=0.05, suspicion_s=0.3)
 IDLE = GossipSettings(period_s=3600.0, ack_timeout_s=0.2, suspicion_s=3600.0)
 PORT_TRIES = 20
 
@@ -30,7 +30,7 @@
         self.cut: set[tuple[Endpoint, Endpoint]] = set()
         self.dropped = 0
 
-    def separate(self, first: t.Iterable["Peer"], second: t.Iterable["Peer"]) -> None:
+    def separate(self, first: t.Iterable["GossipNode"], second: t.Iterable["GossipNode"]) -> None:
         """Lose all datagrams between two groups."""
         second = list(second)
         for a in first:
@@ -68,7 +68,7 @@
         return time.monotonic() + self.paused_s
 
 
-class Peer:
+class GossipNode:
     """One node's membership, as the node wires it."""
 
     def __init__(self, node_id: str, data_centre: str, settings: GossipSettings) -> None:
@@ -102,10 +102,10 @@
         await self.links.start()
         own = Member(self.node_id, self.data_centre, "127.0.0.1", self.links.port, incarnation)
         self.table = MemberTable(own)
-        self.moves = SharedRollouts()
+        self.rollouts = SharedRollouts()
         self.gossip = Gossip(
             self.table,
-            self.moves,
+            self.rollouts,
             self.links,
             self.timers,
             self.settings,
@@ -145,18 +145,18 @@
 
     def __init__(self) -> None:
         self.faults = Faults()
-        self.peers: list[Peer] = []
+        self.peers: list[GossipNode] = []
 
     async def add(
         self,
         node_id: str,
         data_centre: str = "celje-a",
-        settings: GossipSettings = QUICK,
+        settings: GossipSettings = FAST,
         incarnation: int = 1,
         join: bool = True,
-    ) -> Peer:
+    ) -> GossipNode:
         """Start a node, and join it through the first one."""
-        peer = Peer(node_id, data_centre, settings)
+        peer = GossipNode(node_id, data_centre, settings)
         await peer.start(self.faults, incarnation)
         self.peers.append(peer)
         if join and len(self.peers) > 1:
--- a/tests/nodes/test_anti_entropy.py
+++ b/tests/nodes/test_anti_entropy.py
@@ -18,7 +18,7 @@
 PEER = ("127.0.0.1", 9)
 
 
-class Side:
+class TableReplica:
     """One table with its synchronizer, and what it sent."""
 
     def __init__(self, members: range) -> None:
@@ -40,7 +40,7 @@
     ) -> None:
         self.sent.append((kind, list(extra), body))
 
-    def take(self, sent: list[tuple[str, list[Member], dict[str, t.Any]]]) -> None:
+    def apply(self, sent: list[tuple[str, list[Member], dict[str, t.Any]]]) -> None:
         """Take in what the other side sent."""
         for _, members, body in sent:
             for member in members:
@@ -51,20 +51,20 @@
 
 class SynchronizerTests(unittest.TestCase):
     def test_rounds_of_comparison_make_tables_equal(self) -> None:
-        first, second = Side(range(120)), Side(range(60, 180))
+        first, second = TableReplica(range(120)), TableReplica(range(60, 180))
         for _ in range(60):
             first.sent, second.sent = [], []
             second.synchronizer.handle_digests(PEER, first.table.bucket_digests())
             self.assertLessEqual(len(second.sent), MAX_DATAGRAMS)
-            first.take(second.sent)
+            first.apply(second.sent)
             self.assertLessEqual(len(first.sent), MAX_DATAGRAMS)
-            second.take(first.sent)
+            second.apply(first.sent)
             second.now += 1.0
         self.assertEqual(first.table.digest(), second.table.digest())
         self.assertEqual(len(first.table.by_id), 181)
 
     def test_comparisons_are_bounded_in_rate(self) -> None:
-        first, second = Side(range(5)), Side(range(6))
+        first, second = TableReplica(range(5)), TableReplica(range(6))
         for _ in range(5):
             first.synchronizer.compare_digest(PEER, second.table.digest())
             second.synchronizer.handle_digests(PEER, first.table.bucket_digests())
@@ -72,7 +72,7 @@
         self.assertEqual(len(second.sent), 1)
 
     def test_equal_tables_and_malformed_digests_cause_nothing(self) -> None:
-        side = Side(range(5))
+        side = TableReplica(range(5))
         side.synchronizer.compare_digest(PEER, side.table.digest())
         side.synchronizer.compare_digest(PEER, None)
         side.synchronizer.handle_digests(PEER, side.table.bucket_digests())
@@ -80,16 +80,16 @@
         self.assertEqual(side.sent, [])
 
     def test_tables_far_apart_are_fetched_in_pages(self) -> None:
-        first, second = Side(range(0)), Side(range(WHOLE_TABLE_MEMBERS + 100))
+        first, second = TableReplica(range(0)), TableReplica(range(WHOLE_TABLE_MEMBERS + 100))
         second.synchronizer.handle_digests(PEER, first.table.bucket_digests())
-        first.take(second.sent)
+        first.apply(second.sent)
         self.assertEqual(first.fetched, [PEER])
 
     def test_that_members_are_dead_is_not_handed_on(self) -> None:
-        first, second = Side(range(3)), Side(range(3))
+        first, second = TableReplica(range(3)), TableReplica(range(3))
         second.table.raise_status("n1", Status.DEAD, 0.0)
         second.table.raise_status("n2", Status.LEFT, 0.0)
         second.synchronizer.handle_digests(PEER, first.table.bucket_digests())
-        first.take(second.sent)
+        first.apply(second.sent)
         self.assertIs(first.table.by_id["n1"].status, Status.ALIVE)
         self.assertIs(first.table.by_id["n2"].status, Status.LEFT)
--- a/tests/nodes/test_composing.py
+++ b/tests/nodes/test_composing.py
@@ -38,7 +38,7 @@
 )
 
 
-def composer(own_id: str = "own") -> tuple[MessageComposer, MemberTable, SharedRollouts]:
+def make_composer(own_id: str = "own") -> tuple[MessageComposer, MemberTable, SharedRollouts]:
     table, shared = MemberTable(replace(OWN, node_id=own_id)), SharedRollouts()
     return MessageComposer(table, shared, lambda: 5), table, shared
 
@@ -53,12 +53,12 @@
     @settings(max_examples=60)
     @given(names, st.lists(members, max_size=30), st.lists(moves, max_size=20), st.booleans())
     def test_a_datagram_stays_within_its_bytes(
-        self, own_id: str, told: list[Member], shared: list[SharedRollout], with_digests: bool
+        self, own_id: str, updates: list[Member], shared: list[SharedRollout], with_digests: bool
     ) -> None:
-        made, table, held = composer(own_id)
-        for member in told:
+        composer, table, held = make_composer(own_id)
+        for member in updates:
             table.merge(member, 0.0)
-            made.enqueue(member)
+            composer.enqueue(member)
         for move in shared:
             held.merge(move)
         body = {"ping": messages.Ping(sequence=1 << 40)}
@@ -66,57 +66,59 @@
             digests = messages.BucketDigests(digests=table.bucket_digests())
             body = {"bucket_digests": digests}
         for _ in range(5):
-            data = made.encode_datagram((), **body)
+            data = composer.encode_datagram((), **body)
             self.assertLessEqual(len(data), MAX_DATAGRAM_BYTES)
             decoded = messages.decode(messages.Datagram, data).unwrap()
             self.assertEqual(decoded.gossip.digest, table.digest())
 
     @settings(max_examples=30)
     @given(st.lists(members, max_size=60), st.integers(1, 6))
-    def test_batches_fit_and_keep_the_order(self, told: list[Member], count: int) -> None:
-        made, _, _ = composer()
-        batches = made.split_into_batches(told, count)
+    def test_batches_fit_and_keep_the_order(self, updates: list[Member], count: int) -> None:
+        composer, _, _ = make_composer()
+        batches = composer.split_into_batches(updates, count)
         self.assertLessEqual(len(batches), count)
         flat = [m for batch in batches for m in batch]
-        self.assertEqual(flat, told[: len(flat)])
+        self.assertEqual(flat, updates[: len(flat)])
         request = messages.BucketRequest(buckets=list(range(40)), whole_table=False)
         for batch in batches:
-            data = made.encode_datagram(batch, bucket_request=request)
+            data = composer.encode_datagram(batch, bucket_request=request)
             self.assertLessEqual(len(data), MAX_DATAGRAM_BYTES)
 
     def test_a_draining_target_goes_before_a_queue_of_other_news(self) -> None:
-        made, table, _ = composer()
+        composer, table, _ = make_composer()
         for i in range(500):
             member = replace(OWN, node_id=f"n{i}")
             table.merge(member, 0.0)
-            made.enqueue(member)
+            composer.enqueue(member)
         target = Target("statements", "v1", TargetState.DRAINING, 4)
         leaving = replace(OWN, node_id="n7", incarnation=2, target=target)
         table.merge(leaving, 0.0)
-        made.enqueue(leaving)
-        data = made.encode_datagram((), ping=messages.Ping(sequence=0))
+        composer.enqueue(leaving)
+        data = composer.encode_datagram((), ping=messages.Ping(sequence=0))
         decoded = messages.decode(messages.Datagram, data).unwrap()
         self.assertEqual(decoded.gossip.members[0].node_id, "n7")
 
     def test_what_an_equal_table_knows_is_not_told_it(self) -> None:
-        made, table, _ = composer()
+        composer, table, _ = make_composer()
         for i in range(20):
             member = replace(OWN, node_id=f"n{i}", status=Status(i % 2))
             table.merge(member, 0.0)
-            made.enqueue(member)
-        data = made.encode_datagram((), UpdateSelection.SUSPICIONS, ping=messages.Ping(sequence=0))
-        told = messages.decode(messages.Datagram, data).unwrap().gossip.members
-        self.assertEqual({m.status for m in told}, {Status.SUSPECT})
+            composer.enqueue(member)
+        data = composer.encode_datagram(
+            (), UpdateSelection.SUSPICIONS, ping=messages.Ping(sequence=0)
+        )
+        updates = messages.decode(messages.Datagram, data).unwrap().gossip.members
+        self.assertEqual({m.status for m in updates}, {Status.SUSPECT})
         for _ in range(transmission_limit(20)):
-            made.record_equal_digest()
-        data = made.encode_datagram((), ping=messages.Ping(sequence=0))
-        told = messages.decode(messages.Datagram, data).unwrap().gossip.members
-        self.assertEqual({m.status for m in told}, {Status.SUSPECT})
+            composer.record_equal_digest()
+        data = composer.encode_datagram((), ping=messages.Ping(sequence=0))
+        updates = messages.decode(messages.Datagram, data).unwrap().gossip.members
+        self.assertEqual({m.status for m in updates}, {Status.SUSPECT})
 
     def test_a_move_with_a_long_reason_is_told_all_the_same(self) -> None:
-        made, _, shared = composer()
+        composer, _, shared = make_composer()
         shared.merge(SharedRollout(1, 10, True, "x" * 900, "own"))
         decoded = messages.decode(
-            messages.Datagram, made.encode_datagram((), ping=messages.Ping(sequence=0))
+            messages.Datagram, composer.encode_datagram((), ping=messages.Ping(sequence=0))
         ).unwrap()
         self.assertEqual(decoded.gossip.moves[0].move, 1)
--- a/tests/nodes/test_detector.py
+++ b/tests/nodes/test_detector.py
@@ -8,7 +8,7 @@
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
 from bulrushflow.membership import Status
-from bulrushflow.nodes.detector import REFRESH_LIMIT_S
+from bulrushflow.nodes.detector import MAX_POST_PAUSE_GRACE_S
 from bulrushflow.nodes.detector import FailureDetector
 from bulrushflow.settings import GossipSettings
 from bulrushflow.timers import Timers
@@ -68,7 +68,7 @@
             self.pinger,
             self.changed.append,
         )
-        self.timers.subscribe_pause(self.detector._take_stall)
+        self.timers.subscribe_pause(self.detector._handle_pause)
 
     async def test_rounds_in_cases(self) -> None:
         cases: dict[str, tuple[dict[str, t.Any], Status]] = {
@@ -105,7 +105,7 @@
         self.pinger.pause_s = 5.0
         await self.detector.probe_next()
         self.pinger.pause_s = 0.0
-        self.pinger.run_for(REFRESH_LIMIT_S)
+        self.pinger.run_for(MAX_POST_PAUSE_GRACE_S)
         await self.detector.probe_next()
         self.assertIs(self.table.by_id["peer"].status, Status.SUSPECT)
 
--- a/tests/nodes/test_dissemination.py
+++ b/tests/nodes/test_dissemination.py
@@ -7,7 +7,7 @@
 from bulrushflow.configuration import encode_record
 from bulrushflow.configuration import make_snapshot
 from bulrushflow.nodes.pulling import PullServer
-from tests.nodes.dissemination_fleet import FleetTestCase
+from tests.nodes.dissemination_fleet import DisseminationTestCase
 from tests.recording.fakes import MemoryLog
 from tests.recording.test_recovery import change
 from tests.recording.test_recovery import log_with_snapshots
@@ -20,13 +20,13 @@
     return log
 
 
-class SpreadingTests(FleetTestCase):
+class SpreadingTests(DisseminationTestCase):
     async def test_few_nodes_read_the_log_and_all_hold_every_record(self) -> None:
         nodes = await self.add_all(*["celje-a"] * 7, *["velenje"] * 7)
         await until(self.all_caught_up)
         for number in range(20):
             self.log.add(change(number))
-        await until(lambda: self.all_hold(19))
+        await until(lambda: self.all_at_version(19))
         readers = [n.data_centre for n in nodes if n.dissemination.is_reader()]
         self.assertEqual(sorted(readers), ["celje-a"] * 2 + ["velenje"] * 2)
         self.assertEqual(len({n.store.current.offset for n in nodes}), 1)
@@ -36,19 +36,19 @@
         await self.add_all(*["velenje"] * 5, log=down_log())
         for number in range(3):
             self.log.add(change(number))
-        await until(lambda: self.all_hold(2) and self.all_caught_up())
+        await until(lambda: self.all_at_version(2) and self.all_caught_up())
 
     async def test_the_second_reader_sends_records_when_the_first_does_not(self) -> None:
         nodes = await self.add_all(*["celje-a"] * 8)
         await until(self.all_caught_up)
         first = next(n for n in nodes if n.dissemination._reader_ids()[0] == n.node_id)
         first.dissemination._reader._log = down_log()
-        first.dissemination._asking = True  # Neither does it ask its peers.
+        first.dissemination._pulling = True  # Neither does it ask its peers.
         self.log.add(change(0))
-        await until(lambda: self.all_hold(0))
-        with mock.patch("bulrushflow.nodes.pulling.PULL_WAIT_S", 600.0):
+        await until(lambda: self.all_at_version(0))
+        with mock.patch("bulrushflow.nodes.pulling.MAX_PULL_DELAY_S", 600.0):
             self.log.add(change(1))
-            await until(lambda: self.all_hold(1))
+            await until(lambda: self.all_at_version(1))
 
     async def test_a_restarted_node_becomes_ready_from_peers_while_the_log_is_down(self) -> None:
         self.log.add(change(0))
@@ -68,7 +68,7 @@
         self.assertFalse(any(n.dissemination.caught_up for n in self.nodes))
         self.log.down = False
         await until(self.all_caught_up)
-        self.assertTrue(self.all_hold(0))
+        self.assertTrue(self.all_at_version(0))
 
     async def test_a_paused_node_is_not_ready_until_it_has_checked(self) -> None:
         nodes = await self.add_all("celje-a", "celje-a", "celje-a")
@@ -83,7 +83,7 @@
     async def test_nodes_paused_together_while_the_log_is_down_recover(self) -> None:
         nodes = await self.add_all(*["celje-a"] * 4)
         self.log.add(change(0))
-        await until(lambda: self.all_hold(0) and self.all_caught_up())
+        await until(lambda: self.all_at_version(0) and self.all_caught_up())
         self.log.down = True
         for node in nodes:
             node.ahead_s += 60.0
@@ -95,14 +95,14 @@
         for number in range(3):
             self.log.add(change(number))
         nodes = await self.add_all("celje-a", "celje-a")
-        await until(lambda: self.all_hold(2) and self.all_caught_up())
+        await until(lambda: self.all_at_version(2) and self.all_caught_up())
         del self.log.records[1:]
         self.log.add(change(7))
         restarted = await self.add("celje-a")
         for node in nodes:
             node.ahead_s += 60.0
         await until(self.all_caught_up)
-        self.assertTrue(self.all_hold(2))
+        self.assertTrue(self.all_at_version(2))
         self.assertEqual(nodes[0].store.current.services_by_name["plots"].version, "v2")
         self.assertIsNotNone(restarted.store.current.verdicts_by_publish_id.get("p2"))
         await until(lambda: any(len(node.metrics.log_behind.values) for node in nodes))
@@ -111,7 +111,7 @@
         self.log = log_with_snapshots(12)
         del self.log.records[:8]
         await self.add_all("celje-a", "velenje")
-        await until(lambda: self.all_hold(19) and self.all_caught_up())
+        await until(lambda: self.all_at_version(19) and self.all_caught_up())
 
     async def test_without_a_usable_snapshot_the_node_does_not_become_ready(self) -> None:
         self.log = log_with_snapshots(12, corrupt=12)
@@ -138,7 +138,7 @@
     async def test_a_differing_snapshot_is_reported_as_a_broken_invariant(self) -> None:
         node = await self.add("celje-a")
         self.log.add(change(0))
-        await until(lambda: self.all_hold(0))
+        await until(lambda: self.all_at_version(0))
         other = MemoryLog([change(5)])
         store = type(node.store)()
         store.apply(other.records)
@@ -147,22 +147,22 @@
         self.assertEqual(node.store.current.offset, 0)
 
 
-class PullServerTests(FleetTestCase):
+class PullServerTests(DisseminationTestCase):
     async def test_a_node_far_behind_gets_the_state_and_the_rest_in_pages(self) -> None:
         with mock.patch("bulrushflow.configuration.store.MAX_RETAINED_RECORDS", 5):
             for number in range(30):
                 self.log.add(change(number))
             await self.add_all("celje-a", "celje-a")
-            await until(lambda: self.all_hold(29))
+            await until(lambda: self.all_at_version(29))
         with mock.patch("bulrushflow.configuration.store.MAX_PAGE_BYTES", 100):
             await self.add("celje-a", log=down_log())
-            await until(lambda: self.all_hold(29) and self.all_caught_up())
+            await until(lambda: self.all_at_version(29) and self.all_caught_up())
 
     async def test_pulls_beyond_the_byte_rate_are_refused_and_tried_again(self) -> None:
         for number in range(3):
             self.log.add(change(number))
         nodes = await self.add_all("celje-a", "celje-a")
-        await until(lambda: self.all_hold(2))
+        await until(lambda: self.all_at_version(2))
         servers: list[PullServer] = [n.dissemination._server for n in nodes]
         with mock.patch("bulrushflow.nodes.pulling.SERVED_BYTES_PER_S", 0):
             for server in servers:
@@ -170,7 +170,7 @@
             behind = await self.add_non_reader("celje-a")
             await until(lambda: sum(server.refused_pulls for server in servers) > 1)
             self.assertEqual(behind.store.current.offset, -1)
-        await until(lambda: self.all_hold(2) and self.all_caught_up())
+        await until(lambda: self.all_at_version(2) and self.all_caught_up())
 
     async def test_one_range_is_not_pulled_twice_at_once(self) -> None:
         nodes = await self.add_all("celje-a", "celje-a")
--- a/tests/nodes/test_exchange.py
+++ b/tests/nodes/test_exchange.py
@@ -10,10 +10,10 @@
 from bulrushflow.nodes.exchange import PageBudget
 from tests.nodes.fleet import IDLE
 from tests.nodes.fleet import Fleet
-from tests.nodes.fleet import Peer
+from tests.nodes.fleet import GossipNode
 
 
-def exhaust(peer: Peer) -> None:
+def exhaust(peer: GossipNode) -> None:
     """Leave a node no bytes for pages."""
     budget = peer.gossip._exchange._budget
     now = asyncio.get_running_loop().time()
@@ -34,7 +34,7 @@
         self.fleet = Fleet()
         self.addAsyncCleanup(self.fleet.stop)
 
-    async def full(self, node_id: str, count: int) -> Peer:
+    async def full(self, node_id: str, count: int) -> GossipNode:
         peer = await self.fleet.add(node_id, settings=IDLE, join=False)
         for i in range(count):
             member = Member(f"n{i:04}", "velenje", "127.0.0.1", 9, 1)
@@ -46,7 +46,7 @@
         joiner = await self.fleet.add("joiner", settings=IDLE, join=False)
         self.assertTrue(await joiner.gossip.join(full.endpoint))
         self.assertEqual(joiner.table.digest(), full.table.digest())
-        self.assertEqual(len(joiner.gossip._composer._members), 0)
+        self.assertEqual(len(joiner.gossip._composer._member_updates), 0)
         self.assertIn("joiner", full.table.by_id)
 
     async def test_equal_tables_exchange_no_page(self) -> None:
--- a/tests/nodes/test_gossip.py
+++ b/tests/nodes/test_gossip.py
@@ -10,7 +10,7 @@
 from bulrushflow.rollouts import SharedRollout
 from tests.nodes.fleet import IDLE
 from tests.nodes.fleet import Fleet
-from tests.nodes.fleet import Peer
+from tests.nodes.fleet import GossipNode
 from tests.waiting import GUARD_S
 from tests.waiting import until
 
@@ -23,7 +23,7 @@
         self.fleet = Fleet()
         self.addAsyncCleanup(self.fleet.stop)
 
-    async def start(self, count: int, data_centre: str = "celje-a") -> list[Peer]:
+    async def start(self, count: int, data_centre: str = "celje-a") -> list[GossipNode]:
         peers = [await self.fleet.add(f"{data_centre}-{i}", data_centre) for i in range(count)]
         await self.fleet.until_all_alive()
         return peers
@@ -45,11 +45,11 @@
     async def test_a_move_that_changed_reaches_all_and_later_joiners(self) -> None:
         peers = await self.start(3)
         for offset in range(40):
-            peers[0].moves.merge(SharedRollout(offset, 250, True, "errors" * 20, "celje-a-0"))
+            peers[0].rollouts.merge(SharedRollout(offset, 250, True, "errors" * 20, "celje-a-0"))
         peers[0].gossip.disseminate_now()
-        await until(lambda: all(len(p.moves.by_offset) == 40 for p in peers))
+        await until(lambda: all(len(p.rollouts.by_offset) == 40 for p in peers))
         late = await self.fleet.add("late")
-        await until(lambda: len(late.moves.by_offset) == 40)
+        await until(lambda: len(late.rollouts.by_offset) == 40)
 
     async def test_tables_that_differ_without_news_become_equal(self) -> None:
         peers = await self.start(2)
@@ -92,11 +92,11 @@
     async def test_a_suspected_node_is_told_and_refutes(self) -> None:
         first = await self.fleet.add("first", settings=IDLE)
         second = await self.fleet.add("second", settings=IDLE)
-        claim = first.table.raise_status("second", Status.SUSPECT, 0.0)
-        assert claim is not None
-        first.gossip._changed(claim)
+        update = first.table.raise_status("second", Status.SUSPECT, 0.0)
+        assert update is not None
+        first.gossip._handle_status_raised(update)
         await until(lambda: first.statuses()["second"] is Status.ALIVE)
-        self.assertGreater(second.table.own.incarnation, claim.incarnation)
+        self.assertGreater(second.table.own.incarnation, update.incarnation)
 
     async def test_a_node_that_was_held_dead_refutes_once_it_is_reached(self) -> None:
         peers = await self.start(4)
@@ -130,9 +130,9 @@
                 for other in near + far:
                     peer.gossip._merge_member(other.table.own, None, True, 0.0)
                 for other in other_side:
-                    claim = peer.table.raise_status(other.node_id, Status.DEAD, 0.0)
-                    assert claim is not None
-                    peer.gossip._changed(claim)
+                    update = peer.table.raise_status(other.node_id, Status.DEAD, 0.0)
+                    assert update is not None
+                    peer.gossip._handle_status_raised(update)
                 peer.seen.clear()
 
         def whole() -> bool:
@@ -151,11 +151,11 @@
     async def test_another_node_at_a_dead_ones_address_is_no_sign_of_life(self) -> None:
         peers = await self.start(3)
         ghost = await self.fleet.add("ghost", settings=IDLE, join=False)
-        claim = ghost.table.own
+        update = ghost.table.own
         ghost.table.own_id = "successor"
-        ghost.table.by_id = {"successor": claim}
+        ghost.table.by_id = {"successor": update}
         for peer in peers:
-            peer.table.merge(claim, peer.timers.now())
+            peer.table.merge(update, peer.timers.now())
         await until(lambda: all(p.statuses().get("ghost") is Status.DEAD for p in peers))
 
     async def test_a_paused_node_is_back_afterwards(self) -> None:
--- a/tests/nodes/test_seed_discovery.py
+++ b/tests/nodes/test_seed_discovery.py
@@ -14,10 +14,10 @@
 from bulrushflow.membership import Member
 from bulrushflow.membership import MemberTable
 from bulrushflow.nodes import seed_discovery
-from bulrushflow.nodes.seed_discovery import FRESH_MS
-from bulrushflow.nodes.seed_discovery import MAX_ASKED
-from bulrushflow.nodes.seed_discovery import RENEW_MS
-from bulrushflow.nodes.seed_discovery import WANTED_PER_DATA_CENTRE
+from bulrushflow.nodes.seed_discovery import MAX_AGE_MS
+from bulrushflow.nodes.seed_discovery import MAX_JOIN_ADDRESSES
+from bulrushflow.nodes.seed_discovery import RECORDS_PER_DATA_CENTRE
+from bulrushflow.nodes.seed_discovery import RENEWAL_AGE_MS
 from bulrushflow.nodes.seed_discovery import SeedDiscovery
 from bulrushflow.nodes.seed_discovery import SeedRecord
 from bulrushflow.recording import LogError
@@ -57,7 +57,7 @@
     def add(self, body: bytes, at_ms: int) -> None:
         self.records.append(LogRecord(len(self.records), at_ms, body))
 
-    def introduce(self, node_id: str, data_centre: str, port: int, age_ms: int = 0) -> None:
+    def add_seed_record(self, node_id: str, data_centre: str, port: int, age_ms: int = 0) -> None:
         body = msgspec.json.encode(SeedRecord(node_id, data_centre, "127.0.0.1", port))
         self.add(body, NOW_MS - age_ms)
 
@@ -68,10 +68,10 @@
     def __init__(self, table: MemberTable, live: dict[Endpoint, Member]) -> None:
         self.table = table
         self.live = live
-        self.asked: list[tuple[Endpoint, ...]] = []
+        self.attempts: list[tuple[Endpoint, ...]] = []
 
     async def join(self, *endpoints: Endpoint) -> bool:
-        self.asked.append(endpoints)
+        self.attempts.append(endpoints)
         await asyncio.sleep(0)
         if not any(e in self.live for e in endpoints):
             return False
@@ -84,7 +84,7 @@
     def setUp(self) -> None:
         self.log = FakeLog()
         self.live: dict[Endpoint, Member] = {}
-        patch = mock.patch.object(seed_discovery, "MAX_WAIT_S", 0.2)
+        patch = mock.patch.object(seed_discovery, "MAX_APPEND_DELAY_S", 0.2)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -98,16 +98,16 @@
         own = Member(f"n{number}", data_centre, "127.0.0.1", number, 1)
         table = MemberTable(own)
         joiner = FakeJoiner(table, self.live)
-        made = SeedDiscovery(table, joiner, self.log, timers, seeds, rng, lambda: NOW_MS)
+        discovery = SeedDiscovery(table, joiner, self.log, timers, seeds, rng, lambda: NOW_MS)
         # Only what a test calls by hand counts; the timer has a test of its own.
-        made._next_check_at = float("inf")
+        discovery._next_check_at = float("inf")
         self.live[own.endpoint] = own
-        return made, joiner
+        return discovery, joiner
 
     async def test_nodes_that_start_together_append_a_few_records(self) -> None:
         nodes = [await self.node(i, f"dc{i % 3}") for i in range(1, 61)]
-        await asyncio.gather(*(made.check() for made, _ in nodes))
-        self.assertLessEqual(len(self.log.records), 3 * (WANTED_PER_DATA_CENTRE + 2))
+        await asyncio.gather(*(discovery.check() for discovery, _ in nodes))
+        self.assertLessEqual(len(self.log.records), 3 * (RECORDS_PER_DATA_CENTRE + 2))
         self.assertGreaterEqual(len(self.log.records), 1)
         self.assertLessEqual(self.log.reads, 2 * 60)
 
@@ -117,46 +117,48 @@
             for member in self.live.values():
                 joiner.table.merge(member, 0.0)
         self.log.reads = 0
-        for made, _ in nodes:
-            made._next_check_at = 0.0
-            await made._tick()
-        self.assertLessEqual(self.log.reads, 2 * WANTED_PER_DATA_CENTRE)
+        for discovery, _ in nodes:
+            discovery._next_check_at = 0.0
+            await discovery._tick()
+        self.assertLessEqual(self.log.reads, 2 * RECORDS_PER_DATA_CENTRE)
 
     async def test_records_out_of_date_delay_a_join_by_bounded_attempts(self) -> None:
         for i in range(100):
-            self.log.introduce(f"gone{i}", "celje-a", 1000 + i)
-        made, joiner = await self.node(1)
-        await made.check()
-        self.assertLessEqual(sum(len(asked) for asked in joiner.asked), 2 * MAX_ASKED)
-        asked_first = {e for asked in joiner.asked for e in asked}
-        joiner.asked.clear()
-        await made.check()
+            self.log.add_seed_record(f"gone{i}", "celje-a", 1000 + i)
+        discovery, joiner = await self.node(1)
+        await discovery.check()
+        self.assertLessEqual(
+            sum(len(attempts) for attempts in joiner.attempts), 2 * MAX_JOIN_ADDRESSES
+        )
+        tried_first = {e for attempts in joiner.attempts for e in attempts}
+        joiner.attempts.clear()
+        await discovery.check()
         # Addresses that did not answer come last the next time.
-        self.assertFalse(asked_first & set(joiner.asked[0]))
+        self.assertFalse(tried_first & set(joiner.attempts[0]))
 
     async def test_expired_and_malformed_records_are_passed_over(self) -> None:
-        self.log.introduce("old", "celje-a", 1000, FRESH_MS + 1)
+        self.log.add_seed_record("old", "celje-a", 1000, MAX_AGE_MS + 1)
         self.log.add(b"{", NOW_MS)
-        made, joiner = await self.node(1)
-        await made.check()
-        self.assertEqual(joiner.asked, [])
+        discovery, joiner = await self.node(1)
+        await discovery.check()
+        self.assertEqual(joiner.attempts, [])
 
     async def test_seeds_serve_while_the_log_is_down(self) -> None:
         await self.node(9)
         self.log.down = True
-        made, joiner = await self.node(1, seeds=("127.0.0.1:9", "127.0.0.1:1"))
-        await made.check()
-        self.assertEqual(joiner.asked, [(("127.0.0.1", 9),)])
+        discovery, joiner = await self.node(1, seeds=("127.0.0.1:9", "127.0.0.1:1"))
+        await discovery.check()
+        self.assertEqual(joiner.attempts, [(("127.0.0.1", 9),)])
         self.assertIn("n9", joiner.table.by_id)
 
     async def test_waits_grow_while_the_log_is_down_up_to_a_limit(self) -> None:
         self.log.down = True
-        made, _ = await self.node(1)
-        with mock.patch.object(made._rng, "uniform", lambda low, high: high):
+        discovery, _ = await self.node(1)
+        with mock.patch.object(discovery._rng, "uniform", lambda low, high: high):
             waits = []
             for _ in range(8):
-                await made.check()
-                waits.append(made._next_wait_s())
+                await discovery.check()
+                waits.append(discovery._next_wait_s())
         self.assertEqual(waits, [1.0, 2.0, 4.0, 8.0, 10.0, 10.0, 10.0, 10.0])
 
     async def test_a_chosen_node_appends_in_cases(self) -> None:
@@ -164,28 +166,28 @@
             "no records": ([], True),
             "own fresh one": ([("n1", 1, 0)], False),
             "own from another address": ([("n1", 99, 0)], True),
-            "own that ages": ([("n1", 1, RENEW_MS + 1)], True),
+            "own that ages": ([("n1", 1, RENEWAL_AGE_MS + 1)], True),
             "two of live others": ([("n2", 2, 0), ("n3", 3, 0)], False),
-            "two of live others that age": ([("n2", 2, RENEW_MS + 1), ("n3", 3, 0)], True),
+            "two of live others that age": ([("n2", 2, RENEWAL_AGE_MS + 1), ("n3", 3, 0)], True),
             "two of dead others": ([("x", 77, 0), ("y", 78, 0)], True),
         }
-        for name, (posted, expected) in cases.items():
+        for name, (seeds_on_log, expected) in cases.items():
             with self.subTest(name):
                 self.log.records.clear()
                 self.live.clear()
-                made, _ = await self.node(1)
+                discovery, _ = await self.node(1)
                 await self.node(2)
                 await self.node(3)
-                for node_id, port, age_ms in posted:
-                    self.log.introduce(node_id, "celje-a", port, age_ms)
+                for node_id, port, age_ms in seeds_on_log:
+                    self.log.add_seed_record(node_id, "celje-a", port, age_ms)
                 before = len(self.log.records)
-                with mock.patch.object(made, "_is_introducer", return_value=True):
-                    await made.check()
+                with mock.patch.object(discovery, "_is_publisher", return_value=True):
+                    await discovery.check()
                 self.assertEqual(len(self.log.records) > before, expected)
 
     async def test_the_timer_joins_without_being_asked(self) -> None:
         await self.node(2)
-        self.log.introduce("n2", "celje-a", 2)
-        made, joiner = await self.node(1)
-        made._next_check_at = 0.0
+        self.log.add_seed_record("n2", "celje-a", 2)
+        discovery, joiner = await self.node(1)
+        discovery._next_check_at = 0.0
         await until(lambda: "n2" in joiner.table.by_id)
