--- a/src/bulrushflow/nodes/anti_entropy.py
+++ b/src/bulrushflow/nodes/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Comparison of member tables by digests, which repairs what gossip missed."""
+"""Anti-entropy between member tables: digests are compared, and differing buckets exchanged."""
 
 import random
 import typing as t
@@ -11,17 +11,17 @@
 from bulrushflow.wire.links import Endpoint
 
 MIN_START_PERIODS = 6
-"""Periods of the probes between two comparisons that this node starts, at least."""
+"""Least number of probe periods between two comparisons that this node starts."""
 MIN_RESPONSE_PERIODS = 1
-"""Periods of the probes between two comparisons that this node answers, at least."""
+"""Least number of probe periods between two comparisons that this node responds to."""
 MAX_DATAGRAMS = 6
 MAX_BUCKET_MEMBERS = 40
 WHOLE_TABLE_MEMBERS = 400
-"""Differences beyond so many members are fetched in pages instead."""
+"""With more members in the differing buckets, the whole table is fetched in pages instead."""
 
 
 class SendDatagram(t.Protocol):
-    """What sends datagrams with members."""
+    """Sends datagrams with members."""
 
     def __call__(
         self, kind: str, endpoint: Endpoint, extra: t.Sequence[Member] = (), **body: t.Any
@@ -30,7 +30,7 @@
 
 
 class AntiEntropy:
-    """Starts and answers comparisons, bounded in rate and bytes."""
+    """Starts and responds to comparisons of tables, bounded in rate and bytes."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self._respond_after = float("-inf")
 
     def compare_digest(self, endpoint: Endpoint, digest: int | None) -> None:
-        """Start a comparison with a node whose table differs, unless one was started lately."""
+        """Start a comparison with a node whose digest differs, unless one was started recently."""
         now = self._timers.now()
         if digest is None or digest == self._table.digest() or now < self._start_after:
             return
@@ -62,7 +62,11 @@
         self._send("digests", endpoint, bucket_digests=digests)
 
     def handle_digests(self, endpoint: Endpoint, packed: bytes) -> None:
-        """Send the members of some buckets that differ, and ask for the other node's."""
+        """Send the members of some differing buckets, and request the other node's members of them.
+
+        With more than :data:`WHOLE_TABLE_MEMBERS` members in them, have the other node fetch the
+        whole table instead.
+        """
         now = self._timers.now()
         differing = self._table.differing_buckets(packed)
         if not differing or now < self._respond_after:
@@ -78,14 +82,17 @@
         self._send_members(endpoint, buckets, bucket_request=request)
 
     def handle_bucket_request(self, endpoint: Endpoint, request: t.Any) -> None:
-        """Send the members of the buckets asked for, or fetch the whole table."""
+        """Send the members of the requested buckets, or fetch the whole table as requested."""
         if request.whole_table:
             self._fetch_table(endpoint)
             return
         self._send_members(endpoint, request.buckets or ())
 
     def _pick_buckets(self, differing: list[int]) -> list[int]:
-        """Return buckets at random up to a number of members, so that repeats reach them all."""
+        """Return random buckets with about :data:`MAX_BUCKET_MEMBERS` members at most.
+
+        The choice is random so that later comparisons reach the other buckets.
+        """
         picked: list[int] = []
         count = 0
         for bucket in self._rng.sample(differing, len(differing)):
--- a/src/bulrushflow/nodes/composing.py
+++ b/src/bulrushflow/nodes/composing.py
@@ -1,4 +1,4 @@
-"""What a message tells besides its own purpose, fitted to a datagram's size."""
+"""Piggybacks membership and rollout updates on messages, within a datagram's size."""
 
 import enum
 import typing as t
@@ -16,24 +16,24 @@
 from bulrushflow.wire import messages
 
 MAX_DATAGRAM_BYTES = 1200
-"""Fits the MTU of a usual path with room for tunnels."""
+"""Fits the usual path MTU, with room for the headers of tunnels."""
 ROLLOUT_BYTES = 400
 _ENVELOPE_BYTES = 64
 _BUCKET_REQUEST_BYTES = 200
-"""Room for the numbers of the buckets that go with a batch of members."""
+"""Room for the bucket request sent along with a batch of members."""
 
 
 class UpdateSelection(enum.Enum):
-    """Which news of members a datagram carries."""
+    """Which queued membership updates a datagram carries."""
 
     ALL = enum.auto()
     SUSPICIONS = enum.auto()
-    """To a node that holds the same live members."""
+    """Suspected members only, for a node whose live members are the same."""
     NOTHING = enum.auto()
 
 
 def update_priority(member: Member) -> UpdatePriority:
-    """Return how urgently a member's entry has to be passed on."""
+    """Return the priority with which a member's entry is disseminated."""
     if member.status is Status.LEFT:
         return UpdatePriority.URGENT
     if member.target is not None and member.target.state >= TargetState.DRAINING:
@@ -44,7 +44,7 @@
 
 
 class MessageComposer:
-    """Keeps the news of members and moves, and picks what fits each message."""
+    """Queues updates of members and rollouts, and adds those that fit to each message."""
 
     def __init__(
         self,
@@ -61,18 +61,19 @@
         self._rotation: list[int] = []
 
     def enqueue(self, member: Member) -> None:
-        """Pass a member's entry on with the next messages."""
+        """Send a member's entry along with the next messages."""
         self._member_updates.add(member.node_id, update_priority(member))
 
     def discard_suspect_and_dead(self) -> None:
-        """Stop passing on that members are dead or suspected."""
+        """Drop the queued updates that report members suspected or dead."""
         self._member_updates.discard_from(UpdatePriority.SUSPECT)
 
     def record_equal_digest(self) -> None:
-        """Note that another node's live members are the same as this one's.
+        """Count the queued updates of alive and leaving members as sent to one more node.
 
-        It knows then who lives and who leaves. Suspicions are not in the digest, and that a
-        member is dead goes to all the same, since joiners may have fetched it alive.
+        To be called when another node's digest equals this one's. Suspicions are not part of the
+        digest. Reports of dead members are sent regardless, since a node that joined meanwhile may
+        have fetched the member as alive.
         """
         limit = transmission_limit(len(self._table.live_members()))
         self._member_updates.count_as_sent(limit, UpdatePriority.ALIVE)
@@ -83,7 +84,7 @@
         selection: UpdateSelection = UpdateSelection.ALL,
         **body: t.Any,
     ) -> bytes:
-        """Encode a datagram: ``extra`` members, then the news to tell that still fits."""
+        """Encode a datagram with ``extra`` members and the selected updates that still fit."""
         budget = MAX_DATAGRAM_BYTES - len(messages.encode(messages.Datagram(**body)))
         budget -= _ENVELOPE_BYTES + len(self._table.own_id)
         budget -= sum(codec.member_size(m) for m in extra)
@@ -91,9 +92,9 @@
             return messages.encode(messages.Datagram(gossip=self._make_gossip(extra, ()), **body))
         rollouts, rollout_bytes = self._next_rollouts() if budget >= ROLLOUT_BYTES else ([], 0)
         limit = transmission_limit(len(self._table.live_members()))
-        only = UpdatePriority.SUSPECT if selection is UpdateSelection.SUSPICIONS else None
+        only_priority = UpdatePriority.SUSPECT if selection is UpdateSelection.SUSPICIONS else None
         ids = self._member_updates.next_batch(
-            budget - rollout_bytes, self._member_size, limit, only
+            budget - rollout_bytes, self._member_size, limit, only_priority
         )
         members = [*extra, *(self._table.by_id[i] for i in ids)]
         return messages.encode(
@@ -101,7 +102,7 @@
         )
 
     def frame_gossip(self, members: t.Iterable[Member], with_rollouts: bool) -> t.Any:
-        """Return the gossip for a framed message: the members given, and all moves if asked."""
+        """Return the gossip of a framed message: the given members, and optionally all rollouts."""
         return self._make_gossip(
             members, self._shared_rollouts.by_offset.values() if with_rollouts else ()
         )
@@ -139,9 +140,10 @@
         return codec.member_size(member) if member is not None else 0
 
     def _next_rollouts(self) -> tuple[list[SharedRollout], int]:
-        """Return changed moves and one in rotation, and their bytes.
+        """Return changed rollouts and one in rotation, and their bytes.
 
-        A move that is too large for its share goes alone, or it would never be told.
+        A rollout larger than :data:`ROLLOUT_BYTES` is sent as the only one, or it would never be
+        sent at all.
         """
         self._enqueue_changed_rollouts()
         if not self._seen_by_offset:
@@ -161,7 +163,7 @@
         return [self._seen_by_offset[o][0] for o in offsets], used
 
     def _enqueue_changed_rollouts(self) -> None:
-        # Parts change the shared moves directly, so changes are found by comparison.
+        # Other parts of the node change the shared rollouts directly, so compare them.
         by_offset = self._shared_rollouts.by_offset
         for offset in [o for o in self._seen_by_offset if o not in by_offset]:
             del self._seen_by_offset[offset]
--- a/src/bulrushflow/nodes/datagrams.py
+++ b/src/bulrushflow/nodes/datagrams.py
@@ -1,4 +1,4 @@
-"""The UDP socket between nodes, behind a type that tests can replace."""
+"""The UDP socket between nodes, behind a protocol that tests can implement."""
 
 import asyncio
 import typing as t
@@ -11,10 +11,10 @@
 
 
 class DatagramTransport(t.Protocol):
-    """What sends datagrams."""
+    """Sends datagrams."""
 
     def sendto(self, data: bytes, endpoint: Endpoint) -> None:
-        """Send one datagram; a loss is not reported."""
+        """Send one datagram; its loss is not reported."""
 
     def close(self) -> None:
         """Close the socket."""
@@ -37,8 +37,8 @@
         self._receive(data, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        # A refused port shows as a missing ack, which is what counts.
-        logger.debug("datagram error: {}", exc)
+        # The failure detector notices a refused port by the missing ack.
+        logger.debug("UDP socket error: {}", exc)
 
     def sendto(self, data: bytes, endpoint: Endpoint) -> None:
         """See :meth:`DatagramTransport.sendto`."""
@@ -52,7 +52,7 @@
 
 
 async def open_udp(endpoint: Endpoint, receive: DatagramHandler) -> DatagramTransport:
-    """Bind a UDP socket."""
+    """Bind a UDP socket that passes each datagram and its sender to ``receive``."""
     loop = asyncio.get_running_loop()
     _, transport = await loop.create_datagram_endpoint(
         lambda: UdpTransport(receive), local_addr=endpoint
--- a/src/bulrushflow/nodes/detector.py
+++ b/src/bulrushflow/nodes/detector.py
@@ -1,7 +1,8 @@
-"""Runs the failure detector: probes, suspicion, and contact with members held dead.
+"""The failure detector: probes, suspicion, and reconnection to dead members.
 
-Direct probes, indirect probes, suspicion and refutation follow SWIM. The doubt in oneself
-follows Lifeguard, and a round of probes that spans a pause of this process counts for nothing.
+Direct and indirect probes, suspicion and refutation follow SWIM; the timeouts that grow while this
+node itself may be at fault follow Lifeguard. Probe rounds that span a pause of this process are
+ignored.
 """
 
 import random
@@ -20,30 +21,30 @@
 
 RECONNECT_PERIODS = 4
 MAX_RECONNECT_PROBES = 10
-"""Members held dead that are asked in one go, as long as they answer."""
+"""Most dead members probed in one round, which ends at the first that does not answer."""
 REAP_S = 5.0
 MAX_POST_PAUSE_GRACE_S = 10.0
-"""After a pause, the time after which a node judges others though nobody has answered it."""
+"""After a pause, the time after which members are suspected although none has answered yet."""
 
 
 class Pinger(t.Protocol):
-    """What carries probes."""
+    """Sends probes and waits for their acks."""
 
     async def ping(self, member: Member, timeout_s: float) -> bool:
         """Probe a member; return whether that member answered."""
 
     async def ping_indirectly(self, member: Member, timeout_s: float) -> bool:
-        """Have other members probe a member; return whether one got an answer."""
+        """Have other members probe a member; return whether one reported an ack."""
 
     def received_since(self, instant: float) -> bool:
-        """Tell whether any node was heard of since then, in seconds of the timers' clock."""
+        """Return whether any datagram came since ``instant``, in seconds of the timers' clock."""
 
     def probe_random_members(self) -> None:
-        """Ask a few members for what they hold of this node."""
+        """Probe a few members; one that records this node as suspect or dead answers with that."""
 
 
 class FailureDetector:
-    """Finds members that failed, and those that can be reached again."""
+    """Finds members that failed, and dead members that can be reached again."""
 
     def __init__(
         self,
@@ -63,10 +64,10 @@
         self._order = ProbeOrder(rng)
         self._health = LocalHealth()
         self._pause_ended_at: float | None = None
-        """When the last pause ended, until a member has answered since."""
+        """End of the last pause of the process; ``None`` once a later probe was answered."""
 
     def start(self) -> None:
-        """Begin to probe."""
+        """Subscribe to the timers."""
         self._timers.subscribe_pause(self._handle_pause)
         self._timers.subscribe("probe", self._settings.period_s, self.probe_next)
         self._timers.subscribe("suspicion", self._settings.period_s, self.expire_suspects)
@@ -75,7 +76,7 @@
         self._timers.subscribe("reap", REAP_S, self._reap)
 
     async def probe_next(self) -> None:
-        """Probe one member, and suspect it when neither this node nor others reach it."""
+        """Probe the next member; suspect it if neither this node nor others reach it."""
         member = self._order.next(self._table)
         if member is None:
             return
@@ -91,13 +92,13 @@
         if self._timers.paused_since(began):
             return
         if not self._pinger.received_since(began):
-            # With others heard meanwhile, it is the probed one that is at fault.
+            # Without any datagram meanwhile this node may be at fault, otherwise the member is.
             self._health.record_silence()
         if self._may_raise_status():
             self._raise_status(member.node_id, Status.SUSPECT)
 
     async def expire_suspects(self) -> None:
-        """Declare dead the members that have not refuted their suspicion in time."""
+        """Declare suspects dead that have not refuted the suspicion within the timeout."""
         self._timers.check_pause()
         if not self._may_raise_status():
             return
@@ -108,9 +109,9 @@
                 self._raise_status(member.node_id, Status.DEAD)
 
     async def reconnect(self) -> None:
-        """Ask members held dead, at random, since a network may only have been cut.
+        """Probe random dead members, since the network may only have been partitioned.
 
-        The one that answers learns what is held of it and refutes that.
+        A member that answers has received its recorded state with the probe, and refutes it.
         """
         for _ in range(MAX_RECONNECT_PROBES):
             dead = self._table.dead()
@@ -119,12 +120,12 @@
             member = self._rng.choice(dead)
             if not await self._pinger.ping(member, self._settings.ack_timeout_s):
                 return
-            logger.info("member {} was held dead and answers", member.node_id)
+            logger.info("dead member {} answers probes again", member.node_id)
 
     def _raise_status(self, node_id: str, status: Status) -> None:
         update = self._table.raise_status(node_id, status, self._timers.now())
         if update is not None:
-            logger.info("member {} is held {}", node_id, status.name.lower())
+            logger.info("member {} is now recorded as {}", node_id, status.name.lower())
             self._on_status_raised(update)
 
     def _handle_pause(self, seconds: float) -> None:
--- a/src/bulrushflow/nodes/dissemination.py
+++ b/src/bulrushflow/nodes/dissemination.py
@@ -1,7 +1,7 @@
-"""Bringing the log's records to every node with few readers of the log.
+"""Dissemination of the log's records to every node, with few nodes reading the log.
 
-The readers of a data centre push what they read along a tree; whoever misses a push sees a later
-version in a datagram or in the other reader's tree, and pulls. Every path ends in the same store.
+The readers of a data centre push new records along a tree. A node that misses a push learns of the
+later version from a datagram or from the other reader's tree, and pulls the records.
 """
 
 import asyncio
@@ -39,20 +39,20 @@
 READERS_PER_DATA_CENTRE = 2
 TICK_S = 0.25
 RANKING_PERIOD_S = 1.0
-"""Period at which the readers are ranked anew, when no member was added or dropped."""
+"""Period at which the readers are ranked again while the number of members is unchanged."""
 NO_PEERS_GRACE_S = 2.0
-"""A node that has just started and knows no other does not read the log before this."""
+"""Time after the start before which a node without live peers does not read the log."""
 REMOTE_POLL_S = 1.0
-"""Period at which a reader without the log asks another data centre."""
+"""Longest time between pulls from another data centre by a reader that can't read the log."""
 FIRST_PULL_WAIT_S = 0.25
 MAX_PULL_WAIT_S = 5.0
 SECOND_PUSH_WAIT_S = 0.15
-"""How long the second reader gives the first one's records before it sends them itself."""
+"""Time the second reader waits for the first reader's push before it sends records itself."""
 MAX_PUSH_BYTES = 256 << 10
-"""Larger runs of records are only announced, and pulled."""
+"""Larger batches are announced by their offset only, and pulled."""
 MAX_TREES = 64
 _RECORD_OVERHEAD_BYTES = 48
-"""Bytes of a record on a connection besides its body, and of a message, roughly."""
+"""Approximate bytes of a record on a connection besides its body, and of a message."""
 
 OnInvariantError = t.Callable[[InvariantError], None]
 
@@ -64,8 +64,8 @@
 class RecordDissemination(Service):
     """Keeps the store up to date from the log or from peers.
 
+    :param on_invariant_error: called with a violated invariant; the process must then stop.
     :param now: seconds on a monotonic clock.
-    :param on_broken: told of a broken invariant, upon which the process must stop.
     """
 
     def __init__(
@@ -125,19 +125,19 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether the version held is known to be the highest, and nothing holds it up.
+        """Whether the current version is known to be the latest, and all its records are supported.
 
-        A pause is looked for here, too: after one, calls may be read before any timer runs.
+        Checks for a pause of the process, too, since calls may be read before any timer runs.
         """
         self._detect_pause()
         return self._freshness.is_fresh and not self.store.unsupported
 
     def is_reader(self) -> bool:
-        """Tell whether this node reads the log for its data centre."""
+        """Return whether this node reads the log for its data centre."""
         return self._table.own_id in self._reader_ids()
 
     def note_peer_offset(self, endpoint: Endpoint, offset: int) -> None:
-        """Pull what is missing from a node that is known to hold a later version."""
+        """Note the version that a peer has, and pull the missing records if it is later."""
         self._freshness.record_advertised_offset(offset, self._now())
         if self._puller.set_goal(endpoint, offset):
             self.add_future(self._puller.pull_to_goal())
@@ -176,7 +176,10 @@
             self._metrics.log_behind.inc({})
 
     def _reader_ids(self) -> list[str]:
-        """Return the readers; ranking a large data centre's members on each call costs too much."""
+        """Return the ids of this data centre's readers, first reader first.
+
+        The ranking is cached, since ranking a large data centre on each call costs too much.
+        """
         now = self._now()
         count = len(self._table.by_id)
         if now - self._ranked_at >= RANKING_PERIOD_S or count != self._ranked_count:
@@ -199,11 +202,13 @@
 
     def _detect_pause(self) -> None:
         if self._freshness.detect_pause(self._now()):
-            logger.warning("the process stood still; checking for later versions")
+            logger.warning(
+                "the process was paused; not ready until the check for later versions ends"
+            )
             self._pull_at = 0.0
             self._pull_wait_s = FIRST_PULL_WAIT_S
             if self._reader_task is not None:
-                # Its read may wait long; the next role check starts it again.
+                # Its long poll may still wait; the next timer tick restarts the reader.
                 self._reader_task.cancel()
 
     def _update_reader_task(self) -> None:
@@ -221,7 +226,10 @@
         return self._reader_running() and self._reader.failures == 0
 
     def _waits_for_peers(self) -> bool:
-        """Tell whether peers come before the log, which may have lost records that they hold."""
+        """Return whether to pull from peers before reading the log.
+
+        The log may have lost records that the peers still have.
+        """
         if not self._table.live_peers():
             return self._now() - self._started_at < NO_PEERS_GRACE_S
         return self._pulled_generation != self._freshness.generation
@@ -247,7 +255,7 @@
         return self.is_reader() and self._reader.failures > 0
 
     async def _pull_from_peers(self) -> None:
-        """Ask a node in another data centre, and during a check one in this one as well."""
+        """Pull from a node in another data centre, and during a check from a local one as well."""
         self._pulling = True
         checking = not self._freshness.is_fresh
         generation = self._freshness.generation
@@ -283,7 +291,10 @@
             self._freshness.record_checking_peer(generation, peer, result.offset, result.was_fresh)
 
     def _push_as_root(self, records: t.Sequence[LogRecord]) -> None:
-        """Start this node's tree: the first reader sends records, the other announces them."""
+        """Push along this node's own tree.
+
+        The first reader sends the records; the second one announces their offset.
+        """
         offset = records[-1].offset if records else self.store.current.offset
         if sum(len(record.body) for record in records) > MAX_PUSH_BYTES:
             records = ()
@@ -293,7 +304,7 @@
             self.add_future(self._push_as_second(records, offset))
 
     async def _push_as_second(self, records: t.Sequence[LogRecord], offset: int) -> None:
-        """Announce records, or send them when the first reader did not in good time."""
+        """Announce records, or send them if the first reader's push has not arrived in time."""
         await asyncio.sleep(SECOND_PUSH_WAIT_S)
         first_reader_id = self._reader_ids()[0]
         pushed = self._forwarded_offset_by_root.get(first_reader_id, -1) >= offset
--- a/src/bulrushflow/nodes/exchange.py
+++ b/src/bulrushflow/nodes/exchange.py
@@ -1,4 +1,4 @@
-"""Exchange of the member table over framed connections, in pages and with bounded work."""
+"""Transfer of the member table over framed connections, in pages within a byte budget."""
 
 import asyncio
 import bisect
@@ -18,7 +18,7 @@
 PAGE_MEMBERS = 200
 PAGE_TIMEOUT_S = 2.0
 FIRST_PAGE_REQUESTS = 3
-"""Nodes asked at once for the first page, since some addresses may be out of date."""
+"""Concurrent requests for the first page, since some addresses may be out of date."""
 MAX_PAGE_FAILURES = 8
 MAX_BACKOFF_S = 5.0
 MAX_REFERRALS = 8
@@ -29,7 +29,7 @@
 
 
 class PageBudget:
-    """Bytes of pages that this node serves: a burst, then a steady rate."""
+    """Token bucket for the bytes of pages that this node serves."""
 
     __slots__ = ("_available", "_refilled_at")
 
@@ -38,7 +38,7 @@
         self._refilled_at: float | None = None
 
     def try_consume(self, count: int, now: float) -> bool:
-        """Take bytes for one page; ``False`` when there are too few."""
+        """Consume the bytes of one page; return ``False`` if too few are available."""
         if self._refilled_at is not None:
             replenished = (now - self._refilled_at) * REFILL_BYTES_PER_S
             self._available = min(BURST_BYTES, self._available + replenished)
@@ -52,7 +52,8 @@
 class MemberExchange:
     """Serves pages of the member table, and fetches them when this node joins.
 
-    :param merge: takes gossip, the endpoint it came from, and whether to pass it on as news.
+    :param merge: merges gossip; called with the gossip, its sender's endpoint if that is known,
+        and whether to disseminate the updates.
     """
 
     def __init__(
@@ -74,9 +75,10 @@
         self._fetching = False
 
     async def join(self, endpoints: t.Sequence[Endpoint]) -> bool:
-        """Fetch the member table, from the first of ``endpoints`` to answer.
+        """Fetch the member table from the first of ``endpoints`` to respond.
 
-        :return: whether a node answered. Pages that stayed out come with later gossip.
+        :return: whether a node responded. Members on pages that were not fetched arrive with later
+            gossip.
         """
         first = await self._fetch_first(endpoints)
         if first is None:
@@ -90,7 +92,7 @@
         return True
 
     async def serve(self, request: t.Any) -> dict[str, t.Any]:
-        """Serve one page, or name a few members to ask instead."""
+        """Return one page, or a few members to ask instead while the byte budget is used up."""
         self._merge(request.gossip, None, True)
         to_refute = self._updates_to_refute(request.gossip)
         after = request.after or ""
@@ -112,7 +114,7 @@
         return {"members": messages.Members(gossip=gossip, **fields)}
 
     def _updates_to_refute(self, gossip: t.Any) -> list[Member]:
-        """Return what the asker has to refute, found through its own entry."""
+        """Return the entry that the requesting node has to refute, compared with its own one."""
         for message in gossip.members or ():
             if message.node_id == gossip.sender:
                 current = self._table.update_to_refute(
@@ -130,7 +132,7 @@
         return [self._table.by_id[i] for i in ids]
 
     async def _fetch_first(self, endpoints: t.Sequence[Endpoint]) -> tuple[Endpoint, t.Any] | None:
-        """Return the first answer among a few nodes asked at once; others' answers are dropped."""
+        """Request the first page from a few nodes at once, and return the first response."""
         tasks = {
             asyncio.create_task(self._fetch(endpoint, "")): endpoint
             for endpoint in endpoints[:FIRST_PAGE_REQUESTS]
--- a/src/bulrushflow/nodes/gossip.py
+++ b/src/bulrushflow/nodes/gossip.py
@@ -1,4 +1,4 @@
-"""Membership between nodes: datagrams that probe other nodes and carry news."""
+"""SWIM-style membership: datagrams that probe other nodes and carry membership updates."""
 
 import asyncio
 import random
@@ -33,11 +33,12 @@
 from bulrushflow.wire.links import Links
 
 FANOUT = 3
-"""Members told at once of urgent news, and members that probe indirectly."""
+"""Members that receive urgent updates at once, and members asked for an indirect probe."""
 MIN_DISSEMINATION_INTERVAL_S = 0.1
-"""Shortest time between two such rounds that other nodes' news causes."""
+"""Shortest time between two rounds of dissemination caused by other nodes' updates."""
 CONFLICTS_BEFORE_ERROR = 3
 CONFLICTS_PER_ERROR = 100
+"""After the first report, conflicts of a node id are reported at multiples of this number."""
 
 PeerAheadCallback = t.Callable[[Endpoint, int], None]
 MembersChangedCallback = t.Callable[[], None]
@@ -45,8 +46,10 @@
 
 
 class Gossip(Service):
-    """Probes other nodes, and spreads and merges what is known of members and moves.
+    """Probes other nodes, and disseminates and merges the state of members and rollouts.
 
+    :param applied_offset: returns this node's configuration version.
+    :param on_peer_ahead: called with the endpoint and the version of a node that has a later one.
     :param on_bytes: called with direction, kind and length of every datagram.
     """
 
@@ -105,23 +108,23 @@
             self._transport = None
 
     def subscribe(self, callback: MembersChangedCallback) -> None:
-        """Call back after the member table changed."""
+        """Call ``callback`` after each change of the member table."""
         self._on_members_changed.append(callback)
 
     def announce_own(self, **changes: t.Any) -> None:
-        """Change this node's own entry and tell a few nodes at once."""
+        """Change this node's own entry, and send it to a few nodes at once."""
         self._composer.enqueue(self.table.update_own(**changes))
         self._members_changed()
         self.disseminate_now()
 
     def disseminate_now(self) -> None:
-        """Tell a few nodes now instead of with the next probe."""
+        """Send queued updates to a few nodes now instead of with the next probe."""
         self._disseminated_at = self._timers.now()
         for member in self._sample_peers(FANOUT):
             self._send("spread", member.endpoint, ping=messages.Ping(sequence=0))
 
     async def leave(self) -> None:
-        """Tell other nodes that this one stops."""
+        """Announce that this node leaves."""
         self.announce_own(status=Status.LEFT)
 
     async def join(self, *endpoints: Endpoint) -> bool:
@@ -132,7 +135,7 @@
         return await self._exchange.join(endpoints)
 
     async def probe(self, member: Member) -> int | None:
-        """Ping one member; return the configuration version it holds, ``None`` without an ack."""
+        """Ping one member; return its configuration version, or ``None`` without an ack."""
         ack = await self._prober.ping(member, self._settings.ack_timeout_s)
         return ack.offset if ack is not None else None
 
@@ -195,7 +198,7 @@
         self._anti_entropy.compare_digest(sender, gossip.digest)
 
     def _updates_to_refute(self, gossip: t.Any, sender: Endpoint) -> tuple[Member, ...]:
-        """Return what the sender of a datagram has to refute to be taken for alive."""
+        """Return the entry that the sender has to refute to count as alive, if there is one."""
         if gossip.incarnation is None or gossip.sender == self.table.own_id:
             return ()
         current = self.table.update_to_refute(gossip.sender, gossip.incarnation, sender)
@@ -205,10 +208,12 @@
         return () if left else (current,)
 
     def _merge(self, gossip: t.Any, sender: Endpoint | None, disseminate: bool) -> None:
-        """Take in gossip; what changed the table is passed on when it is news.
+        """Merge received gossip into the member table and the rollouts.
 
-        A sender that is held dead was on the other side of a partition, so neither side
-        believes the other's word on who is dead.
+        A sender recorded as dead was on the other side of a partition, so neither side accepts
+        the other's reports of dead members.
+
+        :param disseminate: whether to send the updates that changed the table on to other nodes.
         """
         now = self._timers.now()
         changed = False
@@ -219,7 +224,7 @@
             try:
                 update = codec.member_from_message(message)
             except ValueError as exc:
-                logger.warning("member with an unknown state passed over: {}", exc)
+                logger.warning("membership update with an unknown state ignored: {}", exc)
                 continue
             if reconnected and not update.is_self_reported and update.node_id != self.table.own_id:
                 continue
@@ -252,7 +257,9 @@
         if before is not None and before.status is Status.DEAD and current.is_live:
             self._composer.discard_suspect_and_dead()
         if current.node_id == self.table.own_id:
-            logger.info("refuted that this node is {}", update.status.name.lower())
+            logger.info(
+                "refuted an update that reports this node as {}", update.status.name.lower()
+            )
             self._composer.enqueue(current)
             if sender is not None:
                 self._send("spread", sender, (current,))
@@ -267,7 +274,7 @@
         if count != CONFLICTS_BEFORE_ERROR and count % CONFLICTS_PER_ERROR:
             return
         logger.error(
-            "several processes use the node id {}: claims moved {} times, now to {}:{}",
+            "several processes use the node id {}: its address changed {} times, now to {}:{}",
             update.node_id,
             count,
             *update.endpoint,
@@ -277,7 +284,7 @@
         self._composer.enqueue(update)
         self._members_changed()
         if update.status is Status.SUSPECT:
-            # Told first, the suspected one may refute before the others have heard.
+            # Send it to the suspect first, which may then refute before the others suspect it.
             self._send("spread", update.endpoint, (update,))
             self._disseminate_soon()
 
@@ -289,7 +296,7 @@
             callback()
 
     def _disseminate_soon(self) -> None:
-        """Pass news on at once, but only so often when much of it comes."""
+        """Send queued updates at once, or when :data:`MIN_DISSEMINATION_INTERVAL_S` is over."""
         if self._dissemination_timer is not None:
             return
         wait_s = self._disseminated_at + MIN_DISSEMINATION_INTERVAL_S - self._timers.now()
@@ -319,7 +326,7 @@
     ) -> None:
         if self._transport is None:
             return
-        # What is told to a member held dead would reach the other side of a partition.
+        # Further updates would reach the other side of a partition by a dead member.
         if any(m.status is Status.DEAD and m.endpoint == endpoint for m in extra):
             selection = UpdateSelection.NOTHING
         data = self._composer.encode_datagram(extra, selection, **body)
--- a/src/bulrushflow/nodes/probing.py
+++ b/src/bulrushflow/nodes/probing.py
@@ -1,4 +1,4 @@
-"""Probes of other nodes: pings, pings by way of others, and the acks that match them."""
+"""Probes of other nodes: direct and indirect pings, and the matching of their acks."""
 
 import asyncio
 import itertools
@@ -12,12 +12,12 @@
 from bulrushflow.wire.links import Endpoint
 
 MAX_RELAYS = 32
-"""Pings that are made for other nodes at a time."""
+"""Most pings on behalf of other nodes in flight at a time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Who answered a probe, and the configuration version that it told."""
+    """The node that answered a probe, and its configuration version."""
 
     node_id: str
     offset: int
@@ -34,9 +34,9 @@
         self._active_relays = 0
 
     async def ping(self, member: Member, timeout_s: float) -> Ack | None:
-        """Ping a member; only an answer of that member itself counts.
+        """Ping a member; return its ack, or ``None`` after ``timeout_s``.
 
-        Another node that took the address over is no sign of life.
+        An ack of another node that now uses the address does not count.
         """
         ack = await self._wait_for_ack(self.send_ping(member), timeout_s)
         return ack if ack is not None and ack.node_id == member.node_id else None
@@ -44,7 +44,8 @@
     def send_ping(self, member: Member) -> int:
         """Ping a member and return the sequence number of the ack.
 
-        A member that is doubted learns it with the probe, so that it can refute at once.
+        A suspect or dead member receives its recorded state with the probe, so that it can refute
+        it at once.
         """
         sequence = next(self._sequences)
         to_refute = (member,) if member.status in (Status.SUSPECT, Status.DEAD) else ()
@@ -54,7 +55,7 @@
     async def ping_indirectly(
         self, member: Member, helpers: t.Iterable[Member], timeout_s: float
     ) -> bool:
-        """Have others ping a member; return whether one of them got its answer."""
+        """Have ``helpers`` ping a member; return whether one of them reported its ack."""
         sequence = next(self._sequences)
         request = messages.PingRequest(
             sequence=sequence,
@@ -67,11 +68,11 @@
         return await self._wait_for_ack(sequence, timeout_s) is not None
 
     def may_relay(self) -> bool:
-        """Tell whether this node takes on another ping for others."""
+        """Return whether fewer than :data:`MAX_RELAYS` pings for other nodes are in flight."""
         return self._active_relays < MAX_RELAYS
 
     async def relay(self, request: t.Any, sender: Endpoint) -> None:
-        """Ping a node for another one, and pass its ack on."""
+        """Ping a node on behalf of ``sender``, and forward its ack."""
         self._active_relays += 1
         try:
             sequence = next(self._sequences)
@@ -84,7 +85,7 @@
             self._send("ack", sender, ack=messages.Ack(sequence=request.sequence))
 
     def handle_ack(self, sequence: int, ack: Ack) -> None:
-        """Match an ack with its probe; one that comes late is dropped."""
+        """Match an ack with its probe; late acks are dropped."""
         future = self._acks_by_sequence.get(sequence)
         if future is not None and not future.done():
             future.set_result(ack)
--- a/src/bulrushflow/nodes/pulling.py
+++ b/src/bulrushflow/nodes/pulling.py
@@ -1,4 +1,4 @@
-"""Pulling missing records from peers, and serving such pulls within a byte rate."""
+"""Pulls of missing records from peers, and the server side with its byte rate limit."""
 
 import asyncio
 import random
@@ -21,13 +21,13 @@
 
 RECORDS_TIMEOUT_S = 2.0
 MAX_PULL_DELAY_S = 0.2
-"""Longest random wait before a pull, in which the push of the same records may still come."""
+"""Longest random delay before a pull, during which a push of the same records may arrive."""
 FIRST_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
 MAX_FAILURES = 8
-"""Pulls without progress after which a version that was heard of is given up until heard again."""
+"""Failed pulls in a row after which an advertised version is abandoned until advertised again."""
 LOCAL_PULL_FRACTION = 0.8
-"""Part of the pulls that stay inside the data centre."""
+"""Fraction of the pulls from random peers that stay inside the data centre."""
 SERVED_BYTES_PER_S = 1 << 20
 SERVED_BURST_BYTES = 4 << 20
 MIN_COST_BYTES = 512
@@ -37,9 +37,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PullResult:
-    """What a peer said of itself, and how many of its records were new.
+    """A peer's reported state, and what a pull from it brought.
 
-    ``generation`` is that of the check in progress when the peer was asked.
+    ``generation`` is that of the check in progress when the request was sent.
     """
 
     endpoint: Endpoint
@@ -50,15 +50,15 @@
     was_fresh: bool
     new_records: int
     received_bytes: int
-    """Bytes of the records or of the state received."""
+    """Bytes of the records or of the snapshot."""
 
 
 class Puller:
-    """Asks one peer at a time for what is missing.
+    """Pulls missing records, from one peer at a time.
 
     :param apply: applies records and returns how many were new.
-    :param on_result: told of each answer.
-    :param generation: tells the generation of the check in progress.
+    :param on_result: called with the result of each successful pull.
+    :param generation: returns the generation of the check in progress.
     """
 
     def __init__(
@@ -84,7 +84,10 @@
         self._source: Endpoint | None = None
 
     def set_goal(self, endpoint: Endpoint, offset: int) -> bool:
-        """Note that a peer holds a later version; return whether :meth:`follow` should be run."""
+        """Record that a peer has a version, as the goal if it is later than the current one.
+
+        :return: whether :meth:`pull_to_goal` has to be started.
+        """
         if offset <= self._store.current.offset or self._store.unsupported:
             return False
         self._goal_offset = max(self._goal_offset, offset)
@@ -92,7 +95,7 @@
         return not self._pulling
 
     async def pull_to_goal(self) -> None:
-        """Pull until the wanted version is held, or given up."""
+        """Pull until the goal is reached or abandoned; do nothing if already running."""
         if self._pulling:
             return
         self._pulling = True
@@ -103,7 +106,10 @@
             self._pulling = False
 
     async def pull(self, endpoint: Endpoint) -> Result[PullResult, str]:
-        """Ask one peer for the records after the version held, and apply them."""
+        """Request the records after the current version from one peer, and apply them.
+
+        :return: an error if the peer is unreachable, out of bytes to serve, or sent no records.
+        """
         async with self._pull_lock:
             generation = self._generation()
             request = messages.RecordsRequest(from_offset=self._store.current.offset + 1)
@@ -114,7 +120,7 @@
                 case Ok(frame) if frame.records is not None:
                     message = frame.records
                 case Ok(_):
-                    return Err("another kind of answer")
+                    return Err("the response carries no records")
                 case Err(error):
                     return Err(error.reason)
             if message.busy:
@@ -124,7 +130,7 @@
                 self._store.restore_packed(message.snapshot)
             self._apply([codec.record_from_message(r) for r in message.records or ()])
             current_offset = self._store.current.offset
-            # A node of an earlier release does not state its version.
+            # Nodes of earlier releases do not send their version.
             offset = current_offset if message.offset is None else message.offset
             pull_result = PullResult(
                 endpoint,
@@ -140,7 +146,7 @@
         return Ok(pull_result)
 
     def pick_peer(self, same_data_centre: bool) -> Member | None:
-        """Return a random other node, inside this data centre or outside of it if there is one."""
+        """Return a random live peer, preferably in this data centre or in another one, as asked."""
         own = self._table.own
         others = self._table.live_peers()
         preferred = [m for m in others if (m.data_centre == own.data_centre) is same_data_centre]
@@ -174,9 +180,10 @@
 
 
 class PullServer:
-    """Answers pulls, and refuses them for a while beyond a byte rate.
+    """Serves pulls within a byte rate, and answers "busy" beyond it.
 
     :param now: seconds on a monotonic clock.
+    :param on_sent: called with the bytes of each page or snapshot.
     """
 
     def __init__(
@@ -199,7 +206,7 @@
         self._refilled_at = now()
 
     async def serve(self, request: t.Any) -> dict[str, t.Any]:
-        """Return a page of records, or the whole state where some are no longer held."""
+        """Return a page of records, or a snapshot if the first ones are no longer retained."""
         own = {
             "offset": self._store.current.offset,
             "fresh": self._is_fresh(),
--- a/src/bulrushflow/nodes/push_tree.py
+++ b/src/bulrushflow/nodes/push_tree.py
@@ -1,4 +1,4 @@
-"""The tree along which new records are pushed inside a data centre."""
+"""The trees along which new records are pushed inside a data centre."""
 
 import typing as t
 
@@ -9,10 +9,12 @@
 
 
 def children(members: t.Iterable[Member], root_id: str, own_id: str) -> list[Member]:
-    """Return the members that ``own_id`` passes on to in the tree of ``root_id``.
+    """Return the members that ``own_id`` forwards pushes to in the tree of ``root_id``.
 
-    Each root has a tree of its own, so that a node which fails cuts off different members in each.
-    Nodes with different views of the members may miss some, who then pull.
+    Each root has a tree of its own, so a failed node cuts off different members in each. Nodes
+    whose member tables differ may skip some members, which then pull.
+
+    :return: no members if ``own_id`` isn't in the tree.
     """
     others = [member for member in members if member.node_id != root_id]
     ranked = rank_members(others, f"push/{root_id}")
@@ -26,7 +28,10 @@
 
 
 def parent(members: t.Iterable[Member], root_id: str, own_id: str) -> Member | None:
-    """Return the member that passes on to ``own_id`` in the tree of ``root_id``."""
+    """Return the member that forwards to ``own_id`` in the tree of ``root_id``.
+
+    :return: ``None`` if either of the two isn't a member, or ``own_id`` is the root.
+    """
     by_id = {member.node_id: member for member in members}
     root = by_id.pop(root_id, None)
     ranked = rank_members(by_id.values(), f"push/{root_id}")
--- a/src/bulrushflow/nodes/seed_discovery.py
+++ b/src/bulrushflow/nodes/seed_discovery.py
@@ -1,4 +1,4 @@
-"""Finding the first other nodes: introduction records on the log, and hints from settings."""
+"""Discovery of the first other nodes: seed records on the log, and seeds from the settings."""
 
 import asyncio
 import random
@@ -22,25 +22,27 @@
 
 TAIL_RECORDS = 128
 MAX_AGE_MS = 10 * 60 * 1000
+"""Age beyond which seed records are ignored."""
 RENEWAL_AGE_MS = MAX_AGE_MS // 2
+"""Age beyond which a seed record is due to be replaced."""
 RECORDS_PER_DATA_CENTRE = 2
 TICK_S = 0.25
 MAX_START_DELAY_S = 1.0
-"""Nodes that start together read the log spread over so long."""
+"""Longest random delay of the first read, so that nodes that start together don't read at once."""
 RECHECK_S = 1.0
 MAX_RECHECK_S = 60.0
 MIN_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 10.0
 MAX_APPEND_DELAY_S = 1.0
-"""Longest random wait before an append, in which another node may append instead."""
+"""Longest random delay before an append, during which another node may append instead."""
 JOIN_CONCURRENCY = 3
 MAX_JOIN_ADDRESSES = 9
 UNRESPONSIVE_S = 30.0
-"""Time for which an address that did not answer is asked last."""
+"""Time for which an address that did not respond is tried last."""
 
 
 class SeedRecord(msgspec.Struct, frozen=True):
-    """A node that joiners may ask."""
+    """A node through which others can join, as stored on the log."""
 
     node_id: str
     data_centre: str
@@ -54,24 +56,27 @@
 
 
 class LoggedSeedRecord(msgspec.Struct, frozen=True):
-    """An introduction and its age on the log, in milliseconds."""
+    """A seed record and its age on the log, in milliseconds."""
 
     introduction: SeedRecord
     age_ms: int
 
 
 class Joiner(t.Protocol):
-    """What fetches the member table from another node."""
+    """Fetches the member table from another node."""
 
     async def join(self, *endpoints: Endpoint) -> bool:
-        """Fetch it from the first of a few nodes that answers; return whether one did."""
+        """Fetch it from the first of a few nodes that responds; return whether one did."""
 
 
 class SeedDiscovery:
-    """Keeps a few fresh introduction records per data centre, and joins through them.
+    """Keeps a few fresh seed records per data centre on the log, and joins through them.
 
-    Only a node that knows no other one, and the few chosen by rendezvous in each data centre,
-    read and append, so the log's load does not grow with the number of nodes.
+    Only nodes without live peers and a few publishers per data centre, chosen by rendezvous
+    hashing, read and append, so the load on the log does not grow with the number of nodes.
+
+    :param seeds: addresses from the settings, used while seed records lead to no node.
+    :param wall_ms: returns the wall clock's time in milliseconds.
     """
 
     def __init__(
@@ -105,10 +110,10 @@
         self._next_check_at = self._timers.now() + self._next_wait_s()
 
     async def check(self) -> None:
-        """Read the introductions once, join through them, and append this node's if needed."""
+        """Read the seed records, join through them, and append this node's own if it is needed."""
         match await self._read():
             case Err(error):
-                logger.warning("reading introductions failed: {}", error.message)
+                logger.warning("reading seed records from the log failed: {}", error.message)
                 self._failures += 1
                 await self._join_seeds()
                 return
@@ -120,7 +125,7 @@
         self._failures = self._failures + 1 if self._has_no_peers() else 0
         if not self._should_append(logged):
             return
-        # Others that started at the same time may append while this node waits.
+        # Nodes that started at the same time may append during this delay.
         await asyncio.sleep(self._rng.uniform(0, MAX_APPEND_DELAY_S))
         match await self._read():
             case Ok(logged):
@@ -128,13 +133,16 @@
                 if self._should_append(logged):
                     await self._append()
             case Err(error):
-                logger.warning("reading introductions again failed: {}", error.message)
+                logger.warning(
+                    "reading seed records again failed, this node's own is not appended: {}",
+                    error.message,
+                )
 
     def _next_wait_s(self) -> float:
         if self._failures:
             cap_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**self._failures)
             return self._rng.uniform(0, cap_s)
-        # Often at first: nodes that start together may have met in separate groups.
+        # Often at first: nodes that start together may have joined into separate groups.
         wait_s = self._recheck_s
         self._recheck_s = min(MAX_RECHECK_S, 2 * self._recheck_s)
         return wait_s * self._rng.uniform(0.8, 1.2)
@@ -160,15 +168,16 @@
             try:
                 seed = msgspec.json.decode(record.body, type=SeedRecord)
             except msgspec.DecodeError as exc:
-                logger.warning("introduction at {} passed over: {}", record.offset, exc)
+                logger.warning("seed record at offset {} ignored: {}", record.offset, exc)
                 continue
             by_id[seed.node_id] = LoggedSeedRecord(seed, age_ms)
         return Ok(list(by_id.values()))
 
     async def _join(self, logged: list[LoggedSeedRecord]) -> None:
-        """Join through introduced nodes that are not known, several at a time and bounded.
+        """Join through the nodes of seed records that are not live members yet.
 
-        A node that knows nobody stops at the first answer; the others are then known from it.
+        At most :data:`MAX_JOIN_ADDRESSES` are tried, nodes of this data centre and responsive
+        addresses first. A node without peers needs one response, which adds the other members.
         """
         unknown = [p.introduction for p in logged if self._is_unknown(p.introduction)]
         self._rng.shuffle(unknown)
@@ -207,7 +216,7 @@
             await self._gossip.join(*seeds[start : start + JOIN_CONCURRENCY])
 
     def _should_append(self, logged: list[LoggedSeedRecord]) -> bool:
-        """Tell whether this node should append its seed."""
+        """Return whether this node should append its own seed record."""
         if not self._has_no_peers() and not self._is_publisher():
             return False
         own = self._table.own
@@ -229,6 +238,6 @@
         seed = SeedRecord(own.node_id, own.data_centre, own.address, own.peer_port)
         match await self._log.append(SEED_RECORD_STREAM, msgspec.json.encode(seed)):
             case Ok(offset):
-                logger.info("introduced this node at {}", offset)
+                logger.info("appended this node's seed record at offset {}", offset)
             case Err(error):
-                logger.warning("introducing this node failed: {}", error.message)
+                logger.warning("appending this node's seed record failed: {}", error.message)
