--- a/src/bulrushflow/nodes/gossip.py
+++ b/src/bulrushflow/nodes/gossip.py
@@ -211,7 +211,7 @@
         """Merge received gossip into the member table and the rollouts.
 
         A sender recorded as dead was on the other side of a partition, so neither side accepts
-        the other's reports of dead members.
+        the other's reports of suspected or dead members.
 
         :param disseminate: whether to send the updates that changed the table on to other nodes.
         """
@@ -284,7 +284,7 @@
         self._composer.enqueue(update)
         self._members_changed()
         if update.status is Status.SUSPECT:
-            # Send it to the suspect first, which may then refute before the others suspect it.
+            # The suspect receives it first, and may refute it before other members receive it.
             self._send("spread", update.endpoint, (update,))
             self._disseminate_soon()
 
@@ -326,7 +326,7 @@
     ) -> None:
         if self._transport is None:
             return
-        # Further updates would reach the other side of a partition by a dead member.
+        # Queued updates sent to a dead member would reach the other side of a partition.
         if any(m.status is Status.DEAD and m.endpoint == endpoint for m in extra):
             selection = UpdateSelection.NOTHING
         data = self._composer.encode_datagram(extra, selection, **body)
--- a/tests/nodes/dissemination_fleet.py
+++ b/tests/nodes/dissemination_fleet.py
@@ -1,4 +1,4 @@
-"""Nodes that spread records over real connections in one process, around one log."""
+"""Nodes that disseminate records over real connections in one process, with one log."""
 
 import asyncio
 import random
@@ -22,14 +22,14 @@
 
 
 class FleetNode:
-    """One node's store, connections and spreading, with a clock that a test can set ahead."""
+    """One node's store, connections and dissemination, with a clock that a test can advance."""
 
     def __init__(self, node_id: str, data_centre: str, log: Log, seed: int, supported: int) -> None:
         self.node_id = node_id
         self.data_centre = data_centre
         self.log = log
         self.ahead_s = 0.0
-        self.broken: list[InvariantError] = []
+        self.invariant_errors: list[InvariantError] = []
         self.metrics = Metrics(1)
         self.store = ConfigurationStore(supported)
         self.timers = Timers(random.Random(seed))
@@ -37,14 +37,14 @@
         self.rng = random.Random(seed)
 
     async def start_links(self) -> None:
-        """Listen on a port that the system picks."""
+        """Listen on a free port."""
         await self.timers.start()
         await self.links.start()
         own = Member(self.node_id, self.data_centre, "127.0.0.1", self.links.port, 1)
         self.table = MemberTable(own)
 
     async def start(self) -> None:
-        """Begin to spread."""
+        """Start the dissemination."""
         self.dissemination = RecordDissemination(
             self.store,
             self.table,
@@ -54,7 +54,7 @@
             PlatformSettings("http://127.0.0.1:1", long_poll_s=60.0),
             self.rng,
             self.metrics,
-            self.broken.append,
+            self.invariant_errors.append,
             self._now,
         )
         await self.dissemination.start()
@@ -70,7 +70,10 @@
 
 
 class DisseminationTestCase(unittest.IsolatedAsyncioTestCase):
-    """Starts nodes that know each other; no datagrams are sent, so only pushes and pulls work."""
+    """Starts nodes whose tables list each other.
+
+    No datagrams are sent, so records arrive by pushes and pulls only.
+    """
 
     def setUp(self) -> None:
         self.log = MemoryLog()
@@ -94,7 +97,7 @@
         supported: int = 2,
         node_id: str = "",
     ) -> FleetNode:
-        """Start a node that all others know at once."""
+        """Start a node that is in all other nodes' tables at once."""
         number = len(self.nodes)
         node_id = node_id or f"n{number}"
         node = FleetNode(node_id, data_centre, log or self.log, number, supported)
@@ -113,18 +116,18 @@
         return [await self.add(data_centre, **options) for data_centre in data_centres]
 
     async def add_non_reader(self, data_centre: str, **options: t.Any) -> FleetNode:
-        """Start a node whose id leaves the reading to the nodes that are there."""
-        near = [n.table.own for n in self.nodes if n.data_centre == data_centre]
+        """Start a node that isn't a reader, since its id ranks after those of all nodes present."""
+        present = [n.table.own for n in self.nodes if n.data_centre == data_centre]
         for i in range(1000):
             own = Member(f"last{i}", data_centre, "127.0.0.1", 1, 1)
-            if rank_members([*near, own], "log-reader")[-1] is own:
+            if rank_members([*present, own], "log-reader")[-1] is own:
                 return await self.add(data_centre, node_id=own.node_id, **options)
-        raise AssertionError("no such id")
+        raise AssertionError("none of 1000 ids ranks after all nodes present")
 
     def all_at_version(self, offset: int) -> bool:
-        """Tell whether every node holds a version."""
+        """Return whether every node is at a version."""
         return all(node.store.current.offset == offset for node in self.nodes)
 
     def all_caught_up(self) -> bool:
-        """Tell whether every node knows that it is up to date."""
+        """Return whether every node knows its version to be the latest."""
         return all(node.dissemination.caught_up for node in self.nodes)
--- a/tests/nodes/fleet.py
+++ b/tests/nodes/fleet.py
@@ -1,4 +1,4 @@
-"""Several nodes' membership in one loop on loopback, with faults between them."""
+"""Membership of several nodes in one event loop over loopback, with faults between them."""
 
 import random
 import time
@@ -24,21 +24,21 @@
 
 
 class Faults:
-    """Pairs of endpoints between which datagrams are lost, in one direction each."""
+    """Drops datagrams between pairs of endpoints, in one direction per pair."""
 
     def __init__(self) -> None:
         self.cut: set[tuple[Endpoint, Endpoint]] = set()
         self.dropped = 0
 
     def separate(self, first: t.Iterable["GossipNode"], second: t.Iterable["GossipNode"]) -> None:
-        """Lose all datagrams between two groups."""
+        """Drop all datagrams between two groups of nodes."""
         second = list(second)
         for a in first:
             for b in second:
                 self.cut |= {(a.endpoint, b.endpoint), (b.endpoint, a.endpoint)}
 
     async def open(self, endpoint: Endpoint, receive: DatagramHandler) -> DatagramTransport:
-        """Open a UDP socket that loses what the faults say."""
+        """Open a UDP socket that drops datagrams to endpoints that are cut off."""
         return _FaultyTransport(self, endpoint, await open_udp(endpoint, receive))
 
 
@@ -59,7 +59,7 @@
 
 
 class Clock:
-    """The system's clock, which a test can move on as if the process had been paused."""
+    """The monotonic clock, which a test can advance as if the process had been paused."""
 
     def __init__(self) -> None:
         self.paused_s = 0.0
@@ -69,7 +69,7 @@
 
 
 class GossipNode:
-    """One node's membership, as the node wires it."""
+    """The membership parts of one node, connected as in the application."""
 
     def __init__(self, node_id: str, data_centre: str, settings: GossipSettings) -> None:
         self.node_id = node_id
@@ -84,7 +84,7 @@
         return self.table.own.endpoint
 
     async def start(self, faults: Faults, incarnation: int) -> None:
-        """Start on free ports; the same number has to be free for TCP and UDP."""
+        """Start on a port that is free for both TCP and UDP."""
         for _ in range(PORT_TRIES):
             try:
                 await self._start(faults, incarnation)
@@ -119,14 +119,14 @@
         await self.gossip.start()
 
     async def stop(self) -> None:
-        """Stop without a word to the others."""
+        """Stop without announcing it to the other nodes."""
         await self.timers.stop()
         if hasattr(self, "gossip"):
             await self.gossip.stop()
         await self.links.stop()
 
     def statuses(self) -> dict[str, Status]:
-        """What this node believes of the others."""
+        """Return the status of each member in this node's table."""
         return {m.node_id: m.status for m in self.table.by_id.values()}
 
     def _observe(self) -> None:
@@ -141,7 +141,7 @@
 
 
 class Fleet:
-    """Nodes that stop with the test."""
+    """The nodes of one test."""
 
     def __init__(self) -> None:
         self.faults = Faults()
@@ -155,7 +155,7 @@
         incarnation: int = 1,
         join: bool = True,
     ) -> GossipNode:
-        """Start a node, and join it through the first one."""
+        """Start a node, and by default join through the first one."""
         peer = GossipNode(node_id, data_centre, settings)
         await peer.start(self.faults, incarnation)
         self.peers.append(peer)
@@ -169,7 +169,7 @@
             await peer.stop()
 
     async def until_all_alive(self) -> None:
-        """Wait until every node holds every node alive."""
+        """Wait until every node records every node as alive."""
         ids = {p.node_id for p in self.peers}
         await until(
             lambda: all(p.statuses() == dict.fromkeys(ids, Status.ALIVE) for p in self.peers)
--- a/tests/nodes/test_composing.py
+++ b/tests/nodes/test_composing.py
@@ -1,4 +1,4 @@
-"""Tests of what fits a datagram."""
+"""Tests of the updates piggybacked on datagrams."""
 
 import unittest
 from dataclasses import replace
@@ -46,13 +46,13 @@
 class DatagramTests(unittest.TestCase):
     @settings(max_examples=60)
     @given(members)
-    def test_the_size_of_a_member_is_known_without_encoding_it(self, member: Member) -> None:
+    def test_computed_member_size_equals_encoded_size(self, member: Member) -> None:
         encoded = messages.encode(codec.member_to_message(member))
         self.assertEqual(codec.member_size(member), len(encoded) - messages.CHECKSUM_BYTES)
 
     @settings(max_examples=60)
     @given(names, st.lists(members, max_size=30), st.lists(moves, max_size=20), st.booleans())
-    def test_a_datagram_stays_within_its_bytes(
+    def test_datagrams_stay_within_the_size_limit(
         self, own_id: str, updates: list[Member], shared: list[SharedRollout], with_digests: bool
     ) -> None:
         composer, table, held = make_composer(own_id)
@@ -73,7 +73,9 @@
 
     @settings(max_examples=30)
     @given(st.lists(members, max_size=60), st.integers(1, 6))
-    def test_batches_fit_and_keep_the_order(self, updates: list[Member], count: int) -> None:
+    def test_batches_fit_a_datagram_and_keep_the_order(
+        self, updates: list[Member], count: int
+    ) -> None:
         composer, _, _ = make_composer()
         batches = composer.split_into_batches(updates, count)
         self.assertLessEqual(len(batches), count)
@@ -84,7 +86,7 @@
             data = composer.encode_datagram(batch, bucket_request=request)
             self.assertLessEqual(len(data), MAX_DATAGRAM_BYTES)
 
-    def test_a_draining_target_goes_before_a_queue_of_other_news(self) -> None:
+    def test_a_draining_target_is_sent_before_other_queued_updates(self) -> None:
         composer, table, _ = make_composer()
         for i in range(500):
             member = replace(OWN, node_id=f"n{i}")
@@ -98,7 +100,7 @@
         decoded = messages.decode(messages.Datagram, data).unwrap()
         self.assertEqual(decoded.gossip.members[0].node_id, "n7")
 
-    def test_what_an_equal_table_knows_is_not_told_it(self) -> None:
+    def test_a_node_with_an_equal_digest_is_sent_suspicions_only(self) -> None:
         composer, table, _ = make_composer()
         for i in range(20):
             member = replace(OWN, node_id=f"n{i}", status=Status(i % 2))
@@ -115,7 +117,7 @@
         updates = messages.decode(messages.Datagram, data).unwrap().gossip.members
         self.assertEqual({m.status for m in updates}, {Status.SUSPECT})
 
-    def test_a_move_with_a_long_reason_is_told_all_the_same(self) -> None:
+    def test_a_rollout_with_a_long_reason_is_still_sent(self) -> None:
         composer, _, shared = make_composer()
         shared.merge(SharedRollout(1, 10, True, "x" * 900, "own"))
         decoded = messages.decode(
--- a/tests/nodes/test_detector.py
+++ b/tests/nodes/test_detector.py
@@ -1,4 +1,4 @@
-"""Tests of the failure detector's rounds, with a clock and probes under control."""
+"""Tests of the failure detector's probe rounds, with a fake clock and fake probes."""
 
 import random
 import typing as t
@@ -18,7 +18,7 @@
 
 
 class FakePinger:
-    """Answers as told; each probe takes its timeout, and a pause if one is set."""
+    """Returns the configured results; each probe takes its timeout, plus ``pause_s``."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -46,13 +46,13 @@
         self.refreshed += 1
 
     def run_for(self, seconds: float) -> None:
-        """Let time go by in steps that are no pause."""
+        """Advance the clock in steps too short to count as a pause."""
         for _ in range(STEPS):
             self.now += seconds / STEPS
             self.timers.check_pause()
 
 
-class DetectorTests(unittest.IsolatedAsyncioTestCase):
+class FailureDetectorTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.pinger = FakePinger()
         self.timers = self.pinger.timers
@@ -70,12 +70,12 @@
         )
         self.timers.subscribe_pause(self.detector._handle_pause)
 
-    async def test_rounds_in_cases(self) -> None:
+    async def test_status_after_one_probe_round(self) -> None:
         cases: dict[str, tuple[dict[str, t.Any], Status]] = {
-            "no answer at all": ({}, Status.SUSPECT),
-            "a direct answer": ({"direct": True}, Status.ALIVE),
-            "an indirect answer": ({"indirect": True}, Status.ALIVE),
-            "no answer, over a pause of this process": ({"pause_s": 5.0}, Status.ALIVE),
+            "no ack": ({}, Status.SUSPECT),
+            "a direct ack": ({"direct": True}, Status.ALIVE),
+            "an indirect ack": ({"indirect": True}, Status.ALIVE),
+            "no ack, with a pause of this process": ({"pause_s": 5.0}, Status.ALIVE),
         }
         for name, (behaviour, expected) in cases.items():
             with self.subTest(name):
@@ -85,7 +85,7 @@
                 await self.detector.probe_next()
                 self.assertIs(self.table.by_id["peer"].status, expected)
 
-    async def test_after_a_pause_nobody_is_judged_before_an_answer(self) -> None:
+    async def test_after_a_pause_no_status_is_raised_before_a_member_answers(self) -> None:
         self.table.raise_status("peer", Status.SUSPECT, self.pinger.now)
         self.pinger.now += 60.0
         await self.detector.expire_suspects()
@@ -101,7 +101,9 @@
         await self.detector.expire_suspects()
         self.assertIs(self.table.by_id["peer"].status, Status.DEAD)
 
-    async def test_a_node_that_nobody_answers_after_a_pause_judges_in_the_end(self) -> None:
+    async def test_without_answers_after_a_pause_members_are_suspected_after_the_grace_period(
+        self,
+    ) -> None:
         self.pinger.pause_s = 5.0
         await self.detector.probe_next()
         self.pinger.pause_s = 0.0
@@ -109,14 +111,14 @@
         await self.detector.probe_next()
         self.assertIs(self.table.by_id["peer"].status, Status.SUSPECT)
 
-    async def test_failures_lengthen_the_own_timeouts_while_nobody_is_heard(self) -> None:
+    async def test_probe_timeouts_grow_only_while_no_datagram_is_received(self) -> None:
         for heard in (False, False, True, True, False, False):
             self.pinger.heard = heard
             await self.detector.probe_next()
         first = GossipSettings().ack_timeout_s
         self.assertEqual([round(x / first) for x in self.pinger.timeouts], [1, 2, 3, 3, 3, 4])
 
-    async def test_members_held_dead_are_asked_while_they_answer(self) -> None:
+    async def test_dead_members_are_probed_while_they_answer(self) -> None:
         for i in range(3):
             self.table.merge(replace(PEER, node_id=f"dead{i}"), 0.0)
             self.table.raise_status(f"dead{i}", Status.DEAD, 0.0)
--- a/tests/nodes/test_dissemination.py
+++ b/tests/nodes/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Tests of bringing records to every node, and of knowing that none is missing."""
+"""Tests that records reach every node, and that nodes know whether any is missing."""
 
 import typing as t
 from unittest import mock
@@ -20,8 +20,8 @@
     return log
 
 
-class SpreadingTests(DisseminationTestCase):
-    async def test_few_nodes_read_the_log_and_all_hold_every_record(self) -> None:
+class RecordDisseminationTests(DisseminationTestCase):
+    async def test_few_nodes_read_the_log_and_all_get_every_record(self) -> None:
         nodes = await self.add_all(*["celje-a"] * 7, *["velenje"] * 7)
         await until(self.all_caught_up)
         for number in range(20):
@@ -31,19 +31,19 @@
         self.assertEqual(sorted(readers), ["celje-a"] * 2 + ["velenje"] * 2)
         self.assertEqual(len({n.store.current.offset for n in nodes}), 1)
 
-    async def test_a_data_centre_without_the_log_hears_from_another(self) -> None:
+    async def test_a_data_centre_without_the_log_pulls_from_another(self) -> None:
         await self.add_all(*["celje-a"] * 3)
         await self.add_all(*["velenje"] * 5, log=down_log())
         for number in range(3):
             self.log.add(change(number))
         await until(lambda: self.all_at_version(2) and self.all_caught_up())
 
-    async def test_the_second_reader_sends_records_when_the_first_does_not(self) -> None:
+    async def test_the_second_reader_pushes_records_if_the_first_does_not(self) -> None:
         nodes = await self.add_all(*["celje-a"] * 8)
         await until(self.all_caught_up)
         first = next(n for n in nodes if n.dissemination._reader_ids()[0] == n.node_id)
         first.dissemination._reader._log = down_log()
-        first.dissemination._pulling = True  # Neither does it ask its peers.
+        first.dissemination._pulling = True  # Keeps it from pulling, too.
         self.log.add(change(0))
         await until(lambda: self.all_at_version(0))
         with mock.patch("bulrushflow.nodes.pulling.MAX_PULL_DELAY_S", 600.0):
@@ -60,7 +60,7 @@
         self.assertEqual(restarted.store.current.offset, 0)
         self.assertTrue(self.all_caught_up())
 
-    async def test_nodes_that_know_nothing_do_not_vouch_for_each_other(self) -> None:
+    async def test_new_nodes_do_not_confirm_each_others_version(self) -> None:
         self.log.add(change(0))
         self.log.down = True
         await self.add_all("celje-a", "celje-a", "velenje")
@@ -70,13 +70,13 @@
         await until(self.all_caught_up)
         self.assertTrue(self.all_at_version(0))
 
-    async def test_a_paused_node_is_not_ready_until_it_has_checked(self) -> None:
+    async def test_a_paused_node_is_not_caught_up_until_it_has_checked(self) -> None:
         nodes = await self.add_all("celje-a", "celje-a", "celje-a")
         await until(self.all_caught_up)
         for node in nodes:
             with self.subTest(reader=node.dissemination.is_reader()):
                 node.ahead_s += 60.0
-                # No timer has run since: the look at the clock itself must find the pause.
+                # No timer has run since: reading the property must detect the pause.
                 self.assertFalse(node.dissemination.caught_up)
                 await until(lambda n=node: n.dissemination.caught_up)  # type: ignore[misc]
 
@@ -91,7 +91,7 @@
         with mock.patch("bulrushflow.configuration.freshness.CHECKING_PEERS_ACCEPTED_AFTER_S", 0.1):
             await until(self.all_caught_up)
 
-    async def test_a_log_that_lost_its_tail_moves_no_node_back(self) -> None:
+    async def test_a_log_that_lost_its_tail_reverts_no_node(self) -> None:
         for number in range(3):
             self.log.add(change(number))
         nodes = await self.add_all("celje-a", "celje-a")
@@ -107,13 +107,13 @@
         self.assertIsNotNone(restarted.store.current.verdicts_by_publish_id.get("p2"))
         await until(lambda: any(len(node.metrics.log_behind.values) for node in nodes))
 
-    async def test_a_trimmed_log_is_entered_by_a_snapshot(self) -> None:
+    async def test_nodes_start_from_a_snapshot_of_a_trimmed_log(self) -> None:
         self.log = log_with_snapshots(12)
         del self.log.records[:8]
         await self.add_all("celje-a", "velenje")
         await until(lambda: self.all_at_version(19) and self.all_caught_up())
 
-    async def test_without_a_usable_snapshot_the_node_does_not_become_ready(self) -> None:
+    async def test_without_a_valid_snapshot_a_node_does_not_catch_up(self) -> None:
         self.log = log_with_snapshots(12, corrupt=12)
         del self.log.records[:8]
         node = await self.add("celje-a")
@@ -121,7 +121,7 @@
         self.assertFalse(node.dissemination.caught_up)
         self.assertEqual(node.store.current.offset, -1)
 
-    async def test_an_older_release_stops_but_passes_records_on(self) -> None:
+    async def test_an_older_release_stops_applying_but_forwards_records(self) -> None:
         await self.add_all("celje-a", "celje-a", supported=1)
         newer = await self.add_non_reader("celje-a")
         await until(self.all_caught_up)
@@ -135,7 +135,7 @@
         self.assertFalse(any(n.dissemination.caught_up for n in older))
         self.assertTrue(newer.dissemination.caught_up)
 
-    async def test_a_differing_snapshot_is_reported_as_a_broken_invariant(self) -> None:
+    async def test_a_differing_snapshot_is_reported_as_an_invariant_violation(self) -> None:
         node = await self.add("celje-a")
         self.log.add(change(0))
         await until(lambda: self.all_at_version(0))
@@ -143,12 +143,12 @@
         store = type(node.store)()
         store.apply(other.records)
         self.log.add(encode_record(make_snapshot(store.current)))
-        await until(lambda: bool(node.broken))
+        await until(lambda: bool(node.invariant_errors))
         self.assertEqual(node.store.current.offset, 0)
 
 
 class PullServerTests(DisseminationTestCase):
-    async def test_a_node_far_behind_gets_the_state_and_the_rest_in_pages(self) -> None:
+    async def test_a_node_far_behind_gets_a_snapshot_and_then_pages(self) -> None:
         with mock.patch("bulrushflow.configuration.store.MAX_RETAINED_RECORDS", 5):
             for number in range(30):
                 self.log.add(change(number))
@@ -158,7 +158,7 @@
             await self.add("celje-a", log=down_log())
             await until(lambda: self.all_at_version(29) and self.all_caught_up())
 
-    async def test_pulls_beyond_the_byte_rate_are_refused_and_tried_again(self) -> None:
+    async def test_pulls_beyond_the_byte_rate_are_refused_and_retried(self) -> None:
         for number in range(3):
             self.log.add(change(number))
         nodes = await self.add_all("celje-a", "celje-a")
@@ -172,7 +172,7 @@
             self.assertEqual(behind.store.current.offset, -1)
         await until(lambda: self.all_at_version(2) and self.all_caught_up())
 
-    async def test_one_range_is_not_pulled_twice_at_once(self) -> None:
+    async def test_concurrent_announcements_cause_one_pull(self) -> None:
         nodes = await self.add_all("celje-a", "celje-a")
         await until(self.all_caught_up)
         behind = await self.add_non_reader("celje-a")
--- a/tests/nodes/test_exchange.py
+++ b/tests/nodes/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of the paged exchange of the member table."""
+"""Tests of the paged transfer of the member table."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 
 
 def exhaust(peer: GossipNode) -> None:
-    """Leave a node no bytes for pages."""
+    """Use up a node's byte budget for pages."""
     budget = peer.gossip._exchange._budget
     now = asyncio.get_running_loop().time()
     while budget.try_consume(100, now):
@@ -22,7 +22,7 @@
 
 
 class PageBudgetTests(unittest.TestCase):
-    def test_a_burst_and_then_a_rate(self) -> None:
+    def test_budget_allows_a_burst_and_then_a_rate(self) -> None:
         budget = PageBudget()
         self.assertTrue(budget.try_consume(BURST_BYTES, 0.0))
         self.assertFalse(budget.try_consume(1000, 0.0))
@@ -41,7 +41,7 @@
             peer.table.merge(member, 0.0)
         return peer
 
-    async def test_a_joiner_fetches_all_pages_and_passes_none_on_as_news(self) -> None:
+    async def test_a_joining_node_fetches_all_pages_and_disseminates_none(self) -> None:
         full = await self.full("full", 2 * PAGE_MEMBERS + 50)
         joiner = await self.fleet.add("joiner", settings=IDLE, join=False)
         self.assertTrue(await joiner.gossip.join(full.endpoint))
@@ -49,18 +49,18 @@
         self.assertEqual(len(joiner.gossip._composer._member_updates), 0)
         self.assertIn("joiner", full.table.by_id)
 
-    async def test_equal_tables_exchange_no_page(self) -> None:
+    async def test_no_page_is_sent_between_equal_tables(self) -> None:
         full = await self.full("full", 50)
         joiner = await self.fleet.add("joiner", settings=IDLE, join=False)
         await joiner.gossip.join(full.endpoint)
         exhaust(full)
         self.assertTrue(await joiner.gossip.join(full.endpoint))
 
-    async def test_a_busy_node_refers_to_others(self) -> None:
+    async def test_a_busy_node_refers_to_other_members(self) -> None:
         full = await self.full("full", 0)
         second = await self.fleet.add("second", settings=IDLE)
         for i in range(300):
-            # All at the second node's address, so that any of them can be asked.
+            # All have the second node's address, so that each referral leads there.
             member = Member(f"n{i:04}", "velenje", *second.endpoint, 1)
             second.table.merge(member, 0.0)
             full.table.merge(member, 0.0)
@@ -69,7 +69,7 @@
         self.assertTrue(await joiner.gossip.join(full.endpoint))
         self.assertEqual(joiner.table.digest(), second.table.digest())
 
-    async def test_the_first_of_several_that_answers_serves(self) -> None:
+    async def test_join_uses_the_first_endpoint_that_responds(self) -> None:
         full = await self.full("full", 10)
         joiner = await self.fleet.add("joiner", settings=IDLE, join=False)
         gone = ("127.0.0.1", 1)
--- a/tests/nodes/test_gossip.py
+++ b/tests/nodes/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of membership between nodes, over loopback sockets."""
+"""Tests of gossip membership between nodes over loopback sockets."""
 
 import asyncio
 import unittest
@@ -30,19 +30,19 @@
 
 
 class DisseminationTests(FleetTestCase):
-    async def test_a_draining_target_gets_no_new_calls_on_any_node(self) -> None:
+    async def test_a_draining_target_is_ready_on_no_node(self) -> None:
         peers = await self.start(6)
         peers[0].gossip.announce_own(target=READY)
         await until(lambda: all(p.table.ready_targets("statements", "v1") for p in peers))
         peers[0].gossip.announce_own(target=DRAINING)
         await until(lambda: not any(p.table.ready_targets("statements", "v1") for p in peers))
 
-    async def test_a_node_that_leaves_is_known_to_have_left(self) -> None:
+    async def test_all_nodes_record_a_leaving_node_as_left(self) -> None:
         peers = await self.start(5)
         await peers[0].gossip.leave()
         await until(lambda: all(p.statuses()[peers[0].node_id] is Status.LEFT for p in peers[1:]))
 
-    async def test_a_move_that_changed_reaches_all_and_later_joiners(self) -> None:
+    async def test_changed_rollouts_reach_all_nodes_and_later_joiners(self) -> None:
         peers = await self.start(3)
         for offset in range(40):
             peers[0].rollouts.merge(SharedRollout(offset, 250, True, "errors" * 20, "celje-a-0"))
@@ -51,9 +51,9 @@
         late = await self.fleet.add("late")
         await until(lambda: len(late.rollouts.by_offset) == 40)
 
-    async def test_tables_that_differ_without_news_become_equal(self) -> None:
+    async def test_tables_that_differ_without_queued_updates_become_equal(self) -> None:
         peers = await self.start(2)
-        # Entries that came without news, as from a page; nobody will announce them.
+        # Merged without queuing an update, as from a page; no other node disseminates it.
         third = await self.fleet.add("third", join=False)
         peers[0].table.merge(third.table.own, 0.0)
         await until(lambda: "third" in peers[1].table.by_id)
@@ -69,13 +69,13 @@
 
 
 class DetectionTests(FleetTestCase):
-    async def test_a_silent_node_is_suspected_and_then_dead(self) -> None:
+    async def test_an_unresponsive_node_is_suspected_and_then_declared_dead(self) -> None:
         peers = await self.start(4)
         await peers[0].stop()
         await until(lambda: all(p.statuses()[peers[0].node_id] is Status.DEAD for p in peers[1:]))
         self.assertTrue(any((peers[0].node_id, Status.SUSPECT) in p.seen for p in peers[1:]))
 
-    async def test_one_lossy_link_is_got_round_by_way_of_others(self) -> None:
+    async def test_indirect_probes_bypass_one_lossy_link(self) -> None:
         peers = [await self.fleet.add(f"n{i}", settings=IDLE) for i in range(5)]
         for peer in peers:
             for other in peers:
@@ -89,7 +89,7 @@
         self.fleet.faults.separate([second], peers[2:])
         self.assertFalse(await first.gossip.ping_indirectly(member, 0.3))
 
-    async def test_a_suspected_node_is_told_and_refutes(self) -> None:
+    async def test_a_suspect_receives_the_suspicion_and_refutes_it(self) -> None:
         first = await self.fleet.add("first", settings=IDLE)
         second = await self.fleet.add("second", settings=IDLE)
         update = first.table.raise_status("second", Status.SUSPECT, 0.0)
@@ -98,14 +98,14 @@
         await until(lambda: first.statuses()["second"] is Status.ALIVE)
         self.assertGreater(second.table.own.incarnation, update.incarnation)
 
-    async def test_a_node_that_was_held_dead_refutes_once_it_is_reached(self) -> None:
+    async def test_a_node_recorded_as_dead_refutes_once_it_is_reachable(self) -> None:
         peers = await self.start(4)
         self.fleet.faults.separate(peers[:1], peers[1:])
         await until(lambda: all(p.statuses()[peers[0].node_id] is Status.DEAD for p in peers[1:]))
         self.fleet.faults.cut.clear()
         await self.fleet.until_all_alive()
 
-    async def test_a_data_centre_cut_off_and_healed_is_whole_again(self) -> None:
+    async def test_membership_recovers_after_a_partition_between_data_centres(self) -> None:
         near = await self.start(3)
         far = [await self.fleet.add(f"far-{i}", "velenje") for i in range(3)]
         await self.fleet.until_all_alive()
@@ -122,7 +122,7 @@
         self.fleet.faults.cut.clear()
         await self.fleet.until_all_alive()
 
-    async def test_after_a_partition_no_side_believes_that_its_own_are_dead(self) -> None:
+    async def test_after_a_partition_neither_side_records_its_own_members_as_dead(self) -> None:
         near = [await self.fleet.add(f"near-{i}", "celje-a", IDLE, join=False) for i in range(3)]
         far = [await self.fleet.add(f"far-{i}", "velenje", IDLE, join=False) for i in range(3)]
         for side, other_side in ((near, far), (far, near)):
@@ -135,11 +135,11 @@
                     peer.gossip._handle_status_raised(update)
                 peer.seen.clear()
 
-        def whole() -> bool:
+        def all_alive() -> bool:
             return all(set(p.statuses().values()) == {Status.ALIVE} for p in near + far)
 
         async with asyncio.timeout(GUARD_S):
-            while not whole():
+            while not all_alive():
                 for peer in near + far:
                     await peer.gossip._detector.reconnect()
                     peer.gossip.disseminate_now()
@@ -148,7 +148,7 @@
             for peer in side:
                 self.assertFalse([s for s in peer.seen if s[0] in ids], peer.node_id)
 
-    async def test_another_node_at_a_dead_ones_address_is_no_sign_of_life(self) -> None:
+    async def test_acks_of_another_node_at_the_same_address_do_not_count(self) -> None:
         peers = await self.start(3)
         ghost = await self.fleet.add("ghost", settings=IDLE, join=False)
         update = ghost.table.own
@@ -158,7 +158,7 @@
             peer.table.merge(update, peer.timers.now())
         await until(lambda: all(p.statuses().get("ghost") is Status.DEAD for p in peers))
 
-    async def test_a_paused_node_is_back_afterwards(self) -> None:
+    async def test_a_paused_node_is_alive_again_after_the_pause(self) -> None:
         peers = await self.start(4)
         paused = peers[0]
         for _ in range(3):
@@ -172,7 +172,7 @@
 
 
 class IdentityTests(FleetTestCase):
-    async def test_a_restart_with_an_earlier_clock_is_taken_in(self) -> None:
+    async def test_a_node_restarted_with_an_earlier_clock_is_accepted(self) -> None:
         peers = await self.start(3)
         first = await self.fleet.add("again", incarnation=1000)
         await self.fleet.until_all_alive()
@@ -182,7 +182,7 @@
         await self.fleet.until_all_alive()
         await until(lambda: all(p.table.by_id["again"].endpoint == again.endpoint for p in peers))
 
-    async def test_nodes_that_forgot_each_other_meet_again(self) -> None:
+    async def test_nodes_that_record_each_other_as_dead_can_rejoin(self) -> None:
         first = await self.fleet.add("first", join=False)
         second = await self.fleet.add("second", join=False)
         for peer, other in ((first, second), (second, first)):
@@ -190,7 +190,7 @@
         self.assertTrue(await first.gossip.join(second.endpoint))
         await self.fleet.until_all_alive()
 
-    async def test_two_processes_with_one_id_are_noticed(self) -> None:
+    async def test_two_processes_with_the_same_id_are_detected(self) -> None:
         peers = await self.start(3)
         await self.fleet.add("celje-a-1", incarnation=5)
         await until(lambda: any(p.table.conflicts_by_id.get("celje-a-1") for p in peers))
--- a/tests/nodes/test_push_tree.py
+++ b/tests/nodes/test_push_tree.py
@@ -1,4 +1,4 @@
-"""Tests of the tree along which records are pushed."""
+"""Tests of the trees along which records are pushed."""
 
 import unittest
 
@@ -24,7 +24,7 @@
                         reached.extend(m.node_id for m in below)
                     self.assertEqual(sorted(reached), sorted(m.node_id for m in members))
 
-    def test_a_node_outside_of_the_members_has_no_place(self) -> None:
+    def test_a_node_that_is_no_member_has_no_children_and_no_parent(self) -> None:
         members = [Member("n1", "celje-a", "127.0.0.1", 1, 1)]
         self.assertEqual(children(members, "n1", "other"), [])
         self.assertIsNone(parent(members, "n1", "other"))
--- a/tests/nodes/test_seed_discovery.py
+++ b/tests/nodes/test_seed_discovery.py
@@ -1,4 +1,4 @@
-"""Tests of finding the first other nodes."""
+"""Tests of the discovery of the first other nodes."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 
 
 class FakeLog:
-    """One stream in memory that counts what is asked of it."""
+    """One stream in memory that counts its reads."""
 
     def __init__(self) -> None:
         self.records: list[LogRecord] = []
@@ -63,7 +63,7 @@
 
 
 class FakeJoiner:
-    """Members that answer, by endpoint; joining one makes all of them known."""
+    """Joins through live members by endpoint; a join adds all of them to the table."""
 
     def __init__(self, table: MemberTable, live: dict[Endpoint, Member]) -> None:
         self.table = table
@@ -80,7 +80,7 @@
         return True
 
 
-class IntroductionsTests(unittest.IsolatedAsyncioTestCase):
+class SeedDiscoveryTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.log = FakeLog()
         self.live: dict[Endpoint, Member] = {}
@@ -99,7 +99,7 @@
         table = MemberTable(own)
         joiner = FakeJoiner(table, self.live)
         discovery = SeedDiscovery(table, joiner, self.log, timers, seeds, rng, lambda: NOW_MS)
-        # Only what a test calls by hand counts; the timer has a test of its own.
+        # Tests call the checks themselves; the timer has a test of its own.
         discovery._next_check_at = float("inf")
         self.live[own.endpoint] = own
         return discovery, joiner
@@ -111,7 +111,7 @@
         self.assertGreaterEqual(len(self.log.records), 1)
         self.assertLessEqual(self.log.reads, 2 * 60)
 
-    async def test_a_node_that_knows_others_reads_only_when_chosen(self) -> None:
+    async def test_a_node_with_peers_reads_only_as_a_publisher(self) -> None:
         nodes = [await self.node(i) for i in range(1, 31)]
         for _, joiner in nodes:
             for member in self.live.values():
@@ -122,7 +122,7 @@
             await discovery._tick()
         self.assertLessEqual(self.log.reads, 2 * RECORDS_PER_DATA_CENTRE)
 
-    async def test_records_out_of_date_delay_a_join_by_bounded_attempts(self) -> None:
+    async def test_outdated_records_cause_a_bounded_number_of_attempts(self) -> None:
         for i in range(100):
             self.log.add_seed_record(f"gone{i}", "celje-a", 1000 + i)
         discovery, joiner = await self.node(1)
@@ -133,17 +133,17 @@
         tried_first = {e for attempts in joiner.attempts for e in attempts}
         joiner.attempts.clear()
         await discovery.check()
-        # Addresses that did not answer come last the next time.
+        # Addresses that did not respond are tried last the next time.
         self.assertFalse(tried_first & set(joiner.attempts[0]))
 
-    async def test_expired_and_malformed_records_are_passed_over(self) -> None:
+    async def test_expired_and_malformed_records_are_ignored(self) -> None:
         self.log.add_seed_record("old", "celje-a", 1000, MAX_AGE_MS + 1)
         self.log.add(b"{", NOW_MS)
         discovery, joiner = await self.node(1)
         await discovery.check()
         self.assertEqual(joiner.attempts, [])
 
-    async def test_seeds_serve_while_the_log_is_down(self) -> None:
+    async def test_configured_seeds_are_used_while_the_log_is_down(self) -> None:
         await self.node(9)
         self.log.down = True
         discovery, joiner = await self.node(1, seeds=("127.0.0.1:9", "127.0.0.1:1"))
@@ -161,14 +161,17 @@
                 waits.append(discovery._next_wait_s())
         self.assertEqual(waits, [1.0, 2.0, 4.0, 8.0, 10.0, 10.0, 10.0, 10.0])
 
-    async def test_a_chosen_node_appends_in_cases(self) -> None:
+    async def test_a_publisher_appends_its_record_only_if_needed(self) -> None:
         cases = {
             "no records": ([], True),
-            "own fresh one": ([("n1", 1, 0)], False),
+            "own fresh record": ([("n1", 1, 0)], False),
             "own from another address": ([("n1", 99, 0)], True),
-            "own that ages": ([("n1", 1, RENEWAL_AGE_MS + 1)], True),
+            "own record due for renewal": ([("n1", 1, RENEWAL_AGE_MS + 1)], True),
             "two of live others": ([("n2", 2, 0), ("n3", 3, 0)], False),
-            "two of live others that age": ([("n2", 2, RENEWAL_AGE_MS + 1), ("n3", 3, 0)], True),
+            "two of live others due for renewal": (
+                [("n2", 2, RENEWAL_AGE_MS + 1), ("n3", 3, 0)],
+                True,
+            ),
             "two of dead others": ([("x", 77, 0), ("y", 78, 0)], True),
         }
         for name, (seeds_on_log, expected) in cases.items():
@@ -185,7 +188,7 @@
                     await discovery.check()
                 self.assertEqual(len(self.log.records) > before, expected)
 
-    async def test_the_timer_joins_without_being_asked(self) -> None:
+    async def test_the_timer_starts_the_check(self) -> None:
         await self.node(2)
         self.log.add_seed_record("n2", "celje-a", 2)
         discovery, joiner = await self.node(1)
