--- a/src/bulrushflow/nodes/dissemination.py
+++ b/src/bulrushflow/nodes/dissemination.py
@@ -39,7 +39,7 @@
 READERS_PER_DATA_CENTRE = 2
 TICK_S = 0.25
 RANKING_PERIOD_S = 1.0
-"""Period at which the readers are ranked again while the number of members is unchanged."""
+"""Period at which readers are ranked again if the number of members stays the same."""
 NO_PEERS_GRACE_S = 2.0
 """Time after the start before which a node without live peers does not read the log."""
 REMOTE_POLL_S = 1.0
@@ -208,7 +208,7 @@
             self._pull_at = 0.0
             self._pull_wait_s = FIRST_PULL_WAIT_S
             if self._reader_task is not None:
-                # Its long poll may still wait; the next timer tick restarts the reader.
+                # Its long poll may still be waiting; a later timer tick restarts the reader.
                 self._reader_task.cancel()
 
     def _update_reader_task(self) -> None:
--- a/src/bulrushflow/nodes/pulling.py
+++ b/src/bulrushflow/nodes/pulling.py
@@ -25,7 +25,7 @@
 FIRST_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
 MAX_FAILURES = 8
-"""Failed pulls in a row after which an advertised version is abandoned until advertised again."""
+"""Pulls in a row without new records after which a goal is abandoned until advertised again."""
 LOCAL_PULL_FRACTION = 0.8
 """Fraction of the pulls from random peers that stay inside the data centre."""
 SERVED_BYTES_PER_S = 1 << 20
--- a/tests/nodes/test_composing.py
+++ b/tests/nodes/test_composing.py
@@ -33,7 +33,7 @@
     st.sampled_from([Status.ALIVE, Status.SUSPECT]),
     st.none() | st.builds(Target, names, names, st.sampled_from(TargetState), st.integers(0, 99)),
 )
-moves = st.builds(
+rollouts = st.builds(
     SharedRollout, st.integers(0, 99), st.integers(0, 1000), st.just(True), names, names
 )
 
@@ -51,16 +51,16 @@
         self.assertEqual(codec.member_size(member), len(encoded) - messages.CHECKSUM_BYTES)
 
     @settings(max_examples=60)
-    @given(names, st.lists(members, max_size=30), st.lists(moves, max_size=20), st.booleans())
+    @given(names, st.lists(members, max_size=30), st.lists(rollouts, max_size=20), st.booleans())
     def test_datagrams_stay_within_the_size_limit(
         self, own_id: str, updates: list[Member], shared: list[SharedRollout], with_digests: bool
     ) -> None:
-        composer, table, held = make_composer(own_id)
+        composer, table, shared_rollouts = make_composer(own_id)
         for member in updates:
             table.merge(member, 0.0)
             composer.enqueue(member)
-        for move in shared:
-            held.merge(move)
+        for rollout in shared:
+            shared_rollouts.merge(rollout)
         body = {"ping": messages.Ping(sequence=1 << 40)}
         if with_digests:
             digests = messages.BucketDigests(digests=table.bucket_digests())
--- a/tests/nodes/test_dissemination.py
+++ b/tests/nodes/test_dissemination.py
@@ -178,11 +178,11 @@
         behind = await self.add_non_reader("celje-a")
         await until(lambda: behind.dissemination.caught_up)
         behind.links.handle("records_push", mock.AsyncMock(return_value=None))
-        asked: list[int] = []
+        requested_offsets: list[int] = []
         exchange = behind.links.exchange
 
         async def counted(*args: t.Any, **body: t.Any) -> t.Any:
-            asked.append(body["records_request"].from_offset)
+            requested_offsets.append(body["records_request"].from_offset)
             return await exchange(*args, **body)
 
         with mock.patch.object(behind.links, "exchange", counted):
@@ -191,4 +191,4 @@
             for _ in range(10):
                 behind.dissemination.note_peer_offset(nodes[0].table.own.endpoint, 0)
             await until(lambda: behind.store.current.offset == 0)
-        self.assertEqual(asked, [0])
+        self.assertEqual(requested_offsets, [0])
