--- a/tests/nodes/test_detector.py
+++ b/tests/nodes/test_detector.py
@@ -28,7 +28,7 @@
         self.pause_s = 0.0
         self.timeouts: list[float] = []
         self.refreshed = 0
-        self.heard = False
+        self.received = False
 
     async def ping(self, member: Member, timeout_s: float) -> bool:
         self.timeouts.append(timeout_s)
@@ -40,7 +40,7 @@
         return self.indirect
 
     def received_since(self, instant: float) -> bool:
-        return self.heard
+        return self.received
 
     def probe_random_members(self) -> None:
         self.refreshed += 1
@@ -112,8 +112,8 @@
         self.assertIs(self.table.by_id["peer"].status, Status.SUSPECT)
 
     async def test_probe_timeouts_grow_only_while_no_datagram_is_received(self) -> None:
-        for heard in (False, False, True, True, False, False):
-            self.pinger.heard = heard
+        for received in (False, False, True, True, False, False):
+            self.pinger.received = received
             await self.detector.probe_next()
         first = GossipSettings().ack_timeout_s
         self.assertEqual([round(x / first) for x in self.pinger.timeouts], [1, 2, 3, 3, 3, 4])
