--- a/src/bulrushflow/nodes/composing.py
+++ b/src/bulrushflow/nodes/composing.py
@@ -1,4 +1,4 @@
-"""What a message tells besides its own purpose, fitted to a datagram's size."""
+"""Piggybacks membership and rollout updates on messages, within a datagram's size."""
 
 import enum
 import typing as t
@@ -16,24 +16,24 @@
 from bulrushflow.wire import messages
 
 MAX_DATAGRAM_BYTES = 1200
-"""Fits the MTU of a usual path with room for tunnels."""
-MOVES_BYTES = 400
+"""Fits the usual path MTU, with room for the headers of tunnels."""
+ROLLOUT_BYTES = 400
 _ENVELOPE_BYTES = 64
-_REQUEST_BYTES = 200
-"""Room for the numbers of the buckets that go with a batch of members."""
+_BUCKET_REQUEST_BYTES = 200
+"""Room for the bucket request sent along with a batch of members."""
 
 
 class UpdateSelection(enum.Enum):
-    """Which news of members a datagram carries."""
+    """Which queued membership updates a datagram carries."""
 
     ALL = enum.auto()
     SUSPICIONS = enum.auto()
-    """To a node that holds the same live members."""
+    """Suspected members only, for a node whose live members are the same."""
     NOTHING = enum.auto()
 
 
-def priority(member: Member) -> UpdatePriority:
-    """Return how urgently a member's entry has to be passed on."""
+def update_priority(member: Member) -> UpdatePriority:
+    """Return the priority with which a member's entry is disseminated."""
     if member.status is Status.LEFT:
         return UpdatePriority.URGENT
     if member.target is not None and member.target.state >= TargetState.DRAINING:
@@ -44,7 +44,7 @@
 
 
 class MessageComposer:
-    """Keeps the news of members and moves, and picks what fits each message."""
+    """Queues updates of members and rollouts, and adds those that fit to each message."""
 
     def __init__(
         self,
@@ -55,27 +55,28 @@
         self._table = table
         self._shared_rollouts = shared_rollouts
         self._applied_offset = applied_offset
-        self._members: UpdateQueue[str] = UpdateQueue()
-        self._moves: UpdateQueue[int] = UpdateQueue()
+        self._member_updates: UpdateQueue[str] = UpdateQueue()
+        self._rollout_updates: UpdateQueue[int] = UpdateQueue()
         self._seen_by_offset: dict[int, tuple[SharedRollout, int]] = {}
         self._rotation: list[int] = []
 
     def enqueue(self, member: Member) -> None:
-        """Pass a member's entry on with the next messages."""
-        self._members.add(member.node_id, priority(member))
+        """Send a member's entry along with the next messages."""
+        self._member_updates.add(member.node_id, update_priority(member))
 
     def discard_suspect_and_dead(self) -> None:
-        """Stop passing on that members are dead or suspected."""
-        self._members.discard_from(UpdatePriority.SUSPECT)
+        """Drop the queued updates that report members suspected or dead."""
+        self._member_updates.discard_from(UpdatePriority.SUSPECT)
 
     def record_equal_digest(self) -> None:
-        """Note that another node's live members are the same as this one's.
+        """Count the queued updates of alive and leaving members as sent to one more node.
 
-        It knows then who lives and who leaves. Suspicions are not in the digest, and that a
-        member is dead goes to all the same, since joiners may have fetched it alive.
+        To be called when another node's digest equals this one's. Suspicions are not part of the
+        digest. Reports of dead members are sent regardless, since a node that joined meanwhile may
+        have fetched the member as alive.
         """
         limit = transmission_limit(len(self._table.live_members()))
-        self._members.count_as_sent(limit, UpdatePriority.ALIVE)
+        self._member_updates.count_as_sent(limit, UpdatePriority.ALIVE)
 
     def encode_datagram(
         self,
@@ -83,45 +84,53 @@
         selection: UpdateSelection = UpdateSelection.ALL,
         **body: t.Any,
     ) -> bytes:
-        """Encode a datagram: ``extra`` members, then the news to tell that still fits."""
+        """Encode a datagram with ``extra`` members and the selected updates that still fit."""
         budget = MAX_DATAGRAM_BYTES - len(messages.encode(messages.Datagram(**body)))
         budget -= _ENVELOPE_BYTES + len(self._table.own_id)
         budget -= sum(codec.member_size(m) for m in extra)
         if selection is UpdateSelection.NOTHING:
-            return messages.encode(messages.Datagram(gossip=self._gossip(extra, ()), **body))
-        moves, moves_bytes = self._take_moves() if budget >= MOVES_BYTES else ([], 0)
+            return messages.encode(messages.Datagram(gossip=self._make_gossip(extra, ()), **body))
+        rollouts, rollout_bytes = self._next_rollouts() if budget >= ROLLOUT_BYTES else ([], 0)
         limit = transmission_limit(len(self._table.live_members()))
-        only = UpdatePriority.SUSPECT if selection is UpdateSelection.SUSPICIONS else None
-        ids = self._members.next_batch(budget - moves_bytes, self._member_size, limit, only)
+        only_priority = UpdatePriority.SUSPECT if selection is UpdateSelection.SUSPICIONS else None
+        ids = self._member_updates.next_batch(
+            budget - rollout_bytes, self._member_size, limit, only_priority
+        )
         members = [*extra, *(self._table.by_id[i] for i in ids)]
-        return messages.encode(messages.Datagram(gossip=self._gossip(members, moves), **body))
+        return messages.encode(
+            messages.Datagram(gossip=self._make_gossip(members, rollouts), **body)
+        )
 
-    def frame_gossip(self, members: t.Iterable[Member], with_moves: bool) -> t.Any:
-        """Return the gossip for a framed message: the members given, and all moves if asked."""
-        return self._gossip(members, self._shared_rollouts.by_offset.values() if with_moves else ())
+    def frame_gossip(self, members: t.Iterable[Member], with_rollouts: bool) -> t.Any:
+        """Return the gossip of a framed message: the given members, and optionally all rollouts."""
+        return self._make_gossip(
+            members, self._shared_rollouts.by_offset.values() if with_rollouts else ()
+        )
 
     def split_into_batches(self, members: t.Iterable[Member], count: int) -> list[list[Member]]:
         """Split members into at most ``count`` groups that each fit a datagram."""
         batches: list[list[Member]] = [[]]
-        room = MAX_DATAGRAM_BYTES - 2 * _ENVELOPE_BYTES - _REQUEST_BYTES
-        left = room
+        room = MAX_DATAGRAM_BYTES - 2 * _ENVELOPE_BYTES - _BUCKET_REQUEST_BYTES
+        remaining = room
         for member in members:
             size = codec.member_size(member)
-            if size > left:
+            if size > remaining:
                 if len(batches) == count:
                     break
                 batches.append([])
-                left = room
+                remaining = room
             batches[-1].append(member)
-            left -= size
+            remaining -= size
         return batches
 
-    def _gossip(self, members: t.Iterable[Member], moves: t.Iterable[SharedRollout]) -> t.Any:
+    def _make_gossip(
+        self, members: t.Iterable[Member], rollouts: t.Iterable[SharedRollout]
+    ) -> t.Any:
         return messages.Gossip(
             sender=self._table.own_id,
             offset=self._applied_offset(),
             members=[codec.member_to_message(m) for m in members],
-            moves=[codec.move_to_message(m) for m in moves],
+            moves=[codec.move_to_message(r) for r in rollouts],
             digest=self._table.digest(),
             incarnation=self._table.own.incarnation,
         )
@@ -130,30 +139,31 @@
         member = self._table.by_id.get(node_id)
         return codec.member_size(member) if member is not None else 0
 
-    def _take_moves(self) -> tuple[list[SharedRollout], int]:
-        """Return changed moves and one in rotation, and their bytes.
+    def _next_rollouts(self) -> tuple[list[SharedRollout], int]:
+        """Return changed rollouts and one in rotation, and their bytes.
 
-        A move that is too large for its share goes alone, or it would never be told.
+        A rollout larger than :data:`ROLLOUT_BYTES` is sent as the only one, or it would never be
+        sent at all.
         """
-        self._observe_moves()
+        self._enqueue_changed_rollouts()
         if not self._seen_by_offset:
             return [], 0
         limit = transmission_limit(len(self._table.live_members()))
-        offsets = self._moves.next_batch(
-            MOVES_BYTES, lambda o: min(MOVES_BYTES, self._move_size(o)), limit
+        offsets = self._rollout_updates.next_batch(
+            ROLLOUT_BYTES, lambda o: min(ROLLOUT_BYTES, self._rollout_size(o)), limit
         )
-        used = sum(self._move_size(o) for o in offsets)
+        used = sum(self._rollout_size(o) for o in offsets)
         if not self._rotation:
             self._rotation = list(self._seen_by_offset)
-        turn = self._rotation.pop()
-        size = min(MOVES_BYTES, self._move_size(turn))
-        if size and turn not in offsets and used + size <= MOVES_BYTES:
-            offsets.append(turn)
-            used += self._move_size(turn)
+        rotated = self._rotation.pop()
+        size = min(ROLLOUT_BYTES, self._rollout_size(rotated))
+        if size and rotated not in offsets and used + size <= ROLLOUT_BYTES:
+            offsets.append(rotated)
+            used += self._rollout_size(rotated)
         return [self._seen_by_offset[o][0] for o in offsets], used
 
-    def _observe_moves(self) -> None:
-        # Parts change the shared moves directly, so changes are found by comparison.
+    def _enqueue_changed_rollouts(self) -> None:
+        # Other parts of the node change the shared rollouts directly, so compare them.
         by_offset = self._shared_rollouts.by_offset
         for offset in [o for o in self._seen_by_offset if o not in by_offset]:
             del self._seen_by_offset[offset]
@@ -163,8 +173,8 @@
                 continue
             size = len(messages.encode(codec.move_to_message(state)))
             self._seen_by_offset[offset] = (state, size)
-            self._moves.add(offset, UpdatePriority.URGENT)
+            self._rollout_updates.add(offset, UpdatePriority.URGENT)
 
-    def _move_size(self, offset: int) -> int:
+    def _rollout_size(self, offset: int) -> int:
         seen = self._seen_by_offset.get(offset)
         return seen[1] if seen is not None else 0
--- a/src/bulrushflow/nodes/probing.py
+++ b/src/bulrushflow/nodes/probing.py
@@ -1,4 +1,4 @@
-"""Probes of other nodes: pings, pings by way of others, and the acks that match them."""
+"""Probes of other nodes: direct and indirect pings, and the matching of their acks."""
 
 import asyncio
 import itertools
@@ -12,12 +12,12 @@
 from bulrushflow.wire.links import Endpoint
 
 MAX_RELAYS = 32
-"""Pings that are made for other nodes at a time."""
+"""Most pings on behalf of other nodes in flight at a time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Who answered a probe, and the configuration version that it told."""
+    """The node that answered a probe, and its configuration version."""
 
     node_id: str
     offset: int
@@ -31,30 +31,31 @@
         self._relay_timeout_s = relay_timeout_s
         self._sequences = itertools.count(1)
         self._acks_by_sequence: dict[int, asyncio.Future[Ack]] = {}
-        self._relays = 0
+        self._active_relays = 0
 
     async def ping(self, member: Member, timeout_s: float) -> Ack | None:
-        """Ping a member; only an answer of that member itself counts.
+        """Ping a member; return its ack, or ``None`` after ``timeout_s``.
 
-        Another node that took the address over is no sign of life.
+        An ack of another node that now uses the address does not count.
         """
-        ack = await self._ack(self.send_ping(member), timeout_s)
+        ack = await self._wait_for_ack(self.send_ping(member), timeout_s)
         return ack if ack is not None and ack.node_id == member.node_id else None
 
     def send_ping(self, member: Member) -> int:
         """Ping a member and return the sequence number of the ack.
 
-        A member that is doubted learns it with the probe, so that it can refute at once.
+        A suspect or dead member receives its recorded state with the probe, so that it can refute
+        it at once.
         """
         sequence = next(self._sequences)
-        doubted = (member,) if member.status in (Status.SUSPECT, Status.DEAD) else ()
-        self._send("probe", member.endpoint, doubted, ping=messages.Ping(sequence=sequence))
+        to_refute = (member,) if member.status in (Status.SUSPECT, Status.DEAD) else ()
+        self._send("probe", member.endpoint, to_refute, ping=messages.Ping(sequence=sequence))
         return sequence
 
     async def ping_indirectly(
         self, member: Member, helpers: t.Iterable[Member], timeout_s: float
     ) -> bool:
-        """Have others ping a member; return whether one of them got its answer."""
+        """Have ``helpers`` ping a member; return whether one of them reported its ack."""
         sequence = next(self._sequences)
         request = messages.PingRequest(
             sequence=sequence,
@@ -64,32 +65,32 @@
         )
         for helper in helpers:
             self._send("indirect", helper.endpoint, ping_request=request)
-        return await self._ack(sequence, timeout_s) is not None
+        return await self._wait_for_ack(sequence, timeout_s) is not None
 
     def may_relay(self) -> bool:
-        """Tell whether this node takes on another ping for others."""
-        return self._relays < MAX_RELAYS
+        """Return whether fewer than :data:`MAX_RELAYS` pings for other nodes are in flight."""
+        return self._active_relays < MAX_RELAYS
 
     async def relay(self, request: t.Any, sender: Endpoint) -> None:
-        """Ping a node for another one, and pass its ack on."""
-        self._relays += 1
+        """Ping a node on behalf of ``sender``, and forward its ack."""
+        self._active_relays += 1
         try:
             sequence = next(self._sequences)
             endpoint = (request.address, request.peer_port)
             self._send("indirect", endpoint, ping=messages.Ping(sequence=sequence))
-            ack = await self._ack(sequence, self._relay_timeout_s)
+            ack = await self._wait_for_ack(sequence, self._relay_timeout_s)
         finally:
-            self._relays -= 1
+            self._active_relays -= 1
         if ack is not None and request.node_id in (None, ack.node_id):
             self._send("ack", sender, ack=messages.Ack(sequence=request.sequence))
 
     def handle_ack(self, sequence: int, ack: Ack) -> None:
-        """Match an ack with its probe; one that comes late is dropped."""
+        """Match an ack with its probe; late acks are dropped."""
         future = self._acks_by_sequence.get(sequence)
         if future is not None and not future.done():
             future.set_result(ack)
 
-    async def _ack(self, sequence: int, timeout_s: float) -> Ack | None:
+    async def _wait_for_ack(self, sequence: int, timeout_s: float) -> Ack | None:
         future: asyncio.Future[Ack] = asyncio.get_running_loop().create_future()
         self._acks_by_sequence[sequence] = future
         try:
