--- a/src/bulrushflow/logs.py
+++ b/src/bulrushflow/logs.py
@@ -14,7 +14,7 @@
 
 LogFormat = t.Literal["text", "json"]
 
-MAX_WAITING_BYTES = 256 << 10
+MAX_BUFFERED_BYTES = 256 << 10
 """Lines that wait for a slow reader; what is beyond is dropped."""
 _PROCESS = "process"
 _TEXT_FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level: <7} {extra[process]} {name}: {message}"
@@ -74,9 +74,9 @@
 
     def write(self, line: bytes) -> None:
         """Queue a line and write what the descriptor takes now."""
-        if self._waiting_bytes + len(line) > MAX_WAITING_BYTES:
+        if self._waiting_bytes + len(line) > MAX_BUFFERED_BYTES:
             self._flush()
-        if self._waiting_bytes + len(line) > MAX_WAITING_BYTES:
+        if self._waiting_bytes + len(line) > MAX_BUFFERED_BYTES:
             self._dropped += 1
             return
         if self._dropped:
--- a/src/bulrushflow/nodes/composing.py
+++ b/src/bulrushflow/nodes/composing.py
@@ -121,7 +121,7 @@
             sender=self._table.own_id,
             offset=self._applied_offset(),
             members=[codec.member_to_message(m) for m in members],
-            moves=[codec.move_to_message(m) for m in moves],
+            moves=[codec.rollout_to_message(m) for m in moves],
             digest=self._table.digest(),
             incarnation=self._table.own.incarnation,
         )
@@ -161,7 +161,7 @@
             seen = self._seen_by_offset.get(offset)
             if seen is not None and seen[0] is state:
                 continue
-            size = len(messages.encode(codec.move_to_message(state)))
+            size = len(messages.encode(codec.rollout_to_message(state)))
             self._seen_by_offset[offset] = (state, size)
             self._moves.add(offset, UpdatePriority.URGENT)
 
--- a/src/bulrushflow/nodes/gossip.py
+++ b/src/bulrushflow/nodes/gossip.py
@@ -226,7 +226,7 @@
         if changed:
             self._members_changed()
         for message in gossip.moves or ():
-            if self._shared_rollouts.merge(codec.move_from_message(message)):
+            if self._shared_rollouts.merge(codec.rollout_from_message(message)):
                 self._spread_soon()
         self.highest_seen_offset = max(self.highest_seen_offset, gossip.offset)
         if sender is not None and gossip.offset > self._applied_offset():
--- a/src/bulrushflow/sidecar/forwarding.py
+++ b/src/bulrushflow/sidecar/forwarding.py
@@ -111,7 +111,7 @@
     async def _recheck(self, peer: Peer) -> None:
         wait_s = MIN_RECHECK_INTERVAL_S
         while self._is_current(peer):
-            if await self._links.reach(peer.entry.endpoint):
+            if await self._links.ensure_connected(peer.entry.endpoint):
                 peer.unreachable = False
                 self._decisions.event("node reached", node=peer.entry.node_id)
                 return
--- a/src/bulrushflow/wire/codec.py
+++ b/src/bulrushflow/wire/codec.py
@@ -82,7 +82,7 @@
     )
 
 
-def move_to_message(move: SharedRollout) -> t.Any:
+def rollout_to_message(move: SharedRollout) -> t.Any:
     """Return the thrift message for a move's shared state."""
     return messages.MoveState(
         move=move.offset,
@@ -93,7 +93,7 @@
     )
 
 
-def move_from_message(message: t.Any) -> SharedRollout:
+def rollout_from_message(message: t.Any) -> SharedRollout:
     """Return a move's shared state from its thrift message."""
     return SharedRollout(
         message.move,
--- a/src/bulrushflow/wire/links.py
+++ b/src/bulrushflow/wire/links.py
@@ -86,7 +86,7 @@
             await asyncio.sleep(POLL_S)
         return True
 
-    async def reach(self, endpoint: Endpoint) -> bool:
+    async def ensure_connected(self, endpoint: Endpoint) -> bool:
         """Open a connection where there is none; tell whether there is one now."""
         return (await self._connect(endpoint, CONNECT_TIMEOUT_S)).is_ok()
 
--- a/tests/sidecar/test_decisions.py
+++ b/tests/sidecar/test_decisions.py
@@ -5,7 +5,7 @@
 
 from loguru import logger
 
-from bulrushflow.logs import MAX_WAITING_BYTES
+from bulrushflow.logs import MAX_BUFFERED_BYTES
 from bulrushflow.logs import BoundedWriter
 from bulrushflow.routing import Response
 from bulrushflow.sidecar.decisions import BURST_LINES
@@ -53,7 +53,7 @@
         os.set_blocking(writer, False)
         bounded = BoundedWriter(writer)
         line = b"x" * 1023 + b"\n"
-        for _ in range(2 * MAX_WAITING_BYTES // len(line)):
+        for _ in range(2 * MAX_BUFFERED_BYTES // len(line)):
             bounded.write(line)
         os.set_blocking(reader, False)
         data = b""
