--- a/benchmarks/mechanisms.py
+++ b/benchmarks/mechanisms.py
@@ -238,7 +238,7 @@
     ),
     Mechanism(
         "a silent connection is given up",
-        (Edit("wire/link.py", "if now - self._pinged_at >= PONG_S:", "if False:"),),
+        (Edit("wire/link.py", "if now - self._ping_sent_at >= PONG_TIMEOUT_S:", "if False:"),),
         ("tests.wire.test_link",),
     ),
     Mechanism(
--- a/src/bulrushflow/wire/codec.py
+++ b/src/bulrushflow/wire/codec.py
@@ -146,12 +146,12 @@
 def result_to_message(result: CallResult, load: int, capacity: int) -> t.Any:
     """Return the thrift message for a call's outcome, with the load of the target that ran it."""
     if result.is_ok():
-        answer = result.unwrap()
+        response = result.unwrap()
         return messages.CallAnswer(
             outcome=int(Outcome.ANSWERED),
-            status=answer.status,
-            headers=_headers_to_message(answer.headers),
-            body=answer.body,
+            status=response.status,
+            headers=_headers_to_message(response.headers),
+            body=response.body,
             reason="",
             in_flight=load,
             capacity=capacity,
--- a/src/bulrushflow/wire/link.py
+++ b/src/bulrushflow/wire/link.py
@@ -16,18 +16,18 @@
 MAX_FRAME_BYTES = 16 << 20
 HIGH_WATER_BYTES = 1 << 20
 """Unwritten bytes above which requests are refused before anything is written."""
-MAX_UNWRITTEN_BYTES = 64 << 20
+MAX_WRITE_BUFFER_BYTES = 64 << 20
 """Unwritten bytes above which the connection is given up."""
-BUSY_SILENCE_S = 1.0
+BUSY_KEEPALIVE_S = 1.0
 """With exchanges open and no bytes for so long, the other end is asked for a sign of life."""
-IDLE_SILENCE_S = 3.0
+IDLE_KEEPALIVE_S = 3.0
 """The same without open exchanges, so that the first call after a silence doesn't find it out."""
-PONG_S = 1.0
+PONG_TIMEOUT_S = 1.0
 """How long the sign of life may take."""
 
 _LENGTH = struct.Struct(">I")
-_ANSWERS = ("call_answer", "records", "members", "pong", "failure")
-_REQUESTS = (
+_RESPONSE_FIELDS = ("call_answer", "records", "members", "pong", "failure")
+_REQUEST_FIELDS = (
     "call_request",
     "records_request",
     "members_request",
@@ -57,20 +57,20 @@
         self._transport: asyncio.Transport | None = None
         self._pending: dict[int, asyncio.Future[t.Any]] = {}
         self._tasks: dict[int, asyncio.Task[None]] = {}
-        self._unanswered: set[asyncio.Task[None]] = set()
-        self._exchanges = itertools.count(1)
-        self._heard_at = 0.0
-        self._pinged_at: float | None = None
+        self._one_way_tasks: set[asyncio.Task[None]] = set()
+        self._exchange_numbers = itertools.count(1)
+        self._last_received_at = 0.0
+        self._ping_sent_at: float | None = None
         self._congested = False
-        self.used_at = 0.0
+        self.last_used_at = 0.0
         self.lost = False
-        self.leaving = False
+        self.peer_closing = False
         """Whether the other end said that it is about to close."""
 
     @property
     def usable(self) -> bool:
         """Whether new requests may be sent."""
-        return not self.lost and not self.leaving
+        return not self.lost and not self.peer_closing
 
     @property
     def busy(self) -> bool:
@@ -82,8 +82,8 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = t.cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
-        self._heard_at = asyncio.get_running_loop().time()
-        self.used_at = self._heard_at
+        self._last_received_at = asyncio.get_running_loop().time()
+        self.last_used_at = self._last_received_at
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost = True
@@ -91,7 +91,7 @@
             if not future.done():
                 future.set_result(Err(LinkError(True, f"connection lost: {exc}")))
         self._pending.clear()
-        for task in [*self._tasks.values(), *self._unanswered]:
+        for task in [*self._tasks.values(), *self._one_way_tasks]:
             task.cancel()
         self._on_lost(self)
 
@@ -102,8 +102,8 @@
         self._congested = False
 
     def data_received(self, data: bytes) -> None:
-        self._heard_at = asyncio.get_running_loop().time()
-        self._pinged_at = None
+        self._last_received_at = asyncio.get_running_loop().time()
+        self._ping_sent_at = None
         self._buffer += data
         start = 0
         available = len(self._buffer)
@@ -116,7 +116,7 @@
             end = start + _LENGTH.size + length
             if available < end:
                 break
-            self._receive(bytes(self._buffer[start + _LENGTH.size : end]))
+            self._handle_frame(bytes(self._buffer[start + _LENGTH.size : end]))
             if self.lost:
                 return
             start = end
@@ -132,14 +132,14 @@
             return Err(LinkError(False, "connection lost"))
         if self._congested:
             return Err(LinkError(False, "the connection is congested"))
-        number = next(self._exchanges)
-        match _frame(number, body):
+        number = next(self._exchange_numbers)
+        match _encode_frame(number, body):
             case Err(reason):
                 return Err(LinkError(False, reason))
             case Ok(data):
                 pass
         loop = asyncio.get_running_loop()
-        self.used_at = loop.time()
+        self.last_used_at = loop.time()
         future: asyncio.Future[t.Any] = loop.create_future()
         self._pending[number] = future
         self._write(data)
@@ -158,16 +158,16 @@
 
     def send(self, exchange: int = 0, **body: t.Any) -> bool:
         """Send a frame without waiting for an answer; ``False`` when it can't be sent."""
-        match _frame(exchange, body):
+        match _encode_frame(exchange, body):
             case Err(reason):
                 logger.warning("frame not sent: {}", reason)
                 return False
             case Ok(data):
-                self.used_at = asyncio.get_running_loop().time()
+                self.last_used_at = asyncio.get_running_loop().time()
                 self._write(data)
         return True
 
-    def leave(self) -> None:
+    def send_goodbye(self) -> None:
         """Tell the other end to send no new requests here; those under way are answered."""
         self.send(goodbye=messages.Goodbye())
 
@@ -182,40 +182,40 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def check_silence(self, now: float) -> None:
+    def check_keepalive(self, now: float) -> None:
         """Ask for a sign of life after a silence, then give the connection up when none comes.
 
         A connection can go silent for good while new ones work, so only bytes count as life.
         """
         if self.lost:
             return
-        if self._pinged_at is not None:
-            if now - self._pinged_at >= PONG_S:
+        if self._ping_sent_at is not None:
+            if now - self._ping_sent_at >= PONG_TIMEOUT_S:
                 logger.warning(
                     "connection is silent, giving it up with {} exchanges", len(self._pending)
                 )
                 self.abort()
             return
-        silence_s = BUSY_SILENCE_S if self._pending or self._tasks else IDLE_SILENCE_S
-        if now - self._heard_at >= silence_s:
-            self._pinged_at = now
-            self._write(_frame(0, {"ping": messages.Heartbeat()}).unwrap())
+        silence_s = BUSY_KEEPALIVE_S if self._pending or self._tasks else IDLE_KEEPALIVE_S
+        if now - self._last_received_at >= silence_s:
+            self._ping_sent_at = now
+            self._write(_encode_frame(0, {"ping": messages.Heartbeat()}).unwrap())
 
-    def reset_silence(self, now: float) -> None:
+    def reset_keepalive(self, now: float) -> None:
         """Start the silence anew, since this node itself did not run for a while."""
-        self._heard_at = now
-        self._pinged_at = None
+        self._last_received_at = now
+        self._ping_sent_at = None
 
     def _write(self, data: bytes) -> None:
         if self._transport is None or self.lost:
             return
-        if self._transport.get_write_buffer_size() + len(data) > MAX_UNWRITTEN_BYTES:
+        if self._transport.get_write_buffer_size() + len(data) > MAX_WRITE_BUFFER_BYTES:
             logger.warning("the other end does not read, giving the connection up")
             self.abort()
             return
         self._transport.write(data)
 
-    def _receive(self, payload: bytes) -> None:
+    def _handle_frame(self, payload: bytes) -> None:
         match messages.decode(messages.Frame, payload):
             case Err(reason):
                 logger.warning("malformed frame, dropping the connection: {}", reason)
@@ -224,26 +224,26 @@
             case Ok(frame):
                 pass
         if frame.ping is not None:
-            self._write(_frame(frame.exchange, {"pong": messages.Heartbeat()}).unwrap())
+            self._write(_encode_frame(frame.exchange, {"pong": messages.Heartbeat()}).unwrap())
             return
         if frame.goodbye is not None:
-            self.leaving = True
+            self.peer_closing = True
             return
         if frame.call_cancel is not None:
             task = self._tasks.get(frame.call_cancel.exchange)
             if task is not None:
                 task.cancel()
             return
-        if any(getattr(frame, name) is not None for name in _ANSWERS):
-            self._answer(frame)
+        if any(getattr(frame, name) is not None for name in _RESPONSE_FIELDS):
+            self._complete_exchange(frame)
             return
-        for name in _REQUESTS:
+        for name in _REQUEST_FIELDS:
             message = getattr(frame, name)
             if message is not None and name in self._handlers:
-                self._start(frame.exchange, self._handlers[name], message)
+                self._start_handler(frame.exchange, self._handlers[name], message)
                 return
 
-    def _answer(self, frame: t.Any) -> None:
+    def _complete_exchange(self, frame: t.Any) -> None:
         future = self._pending.get(frame.exchange)
         # A late answer finds no exchange and is dropped.
         if future is None or future.done():
@@ -253,7 +253,7 @@
             return
         future.set_result(Ok(frame))
 
-    def _start(self, number: int, handler: Handler, message: t.Any) -> None:
+    def _start_handler(self, number: int, handler: Handler, message: t.Any) -> None:
         if number in self._tasks:
             logger.warning("exchange number used twice, dropping the connection")
             self.abort()
@@ -261,25 +261,25 @@
         task = asyncio.get_running_loop().create_task(self._handle(number, handler, message))
         if number == 0:
             # A message that wants no answer; several may be handled at once.
-            self._unanswered.add(task)
-            task.add_done_callback(self._unanswered.discard)
+            self._one_way_tasks.add(task)
+            task.add_done_callback(self._one_way_tasks.discard)
             return
         self._tasks[number] = task
         task.add_done_callback(lambda _: self._tasks.pop(number, None))
 
     async def _handle(self, number: int, handler: Handler, message: t.Any) -> None:
         try:
-            answer = await handler(message)
+            response = await handler(message)
         except asyncio.CancelledError:
             raise
         except Exception:
             logger.exception("handling a request failed")
-            self._fail(number, "the other node failed to handle the request")
+            self._send_failure(number, "the other node failed to handle the request")
             return
-        if answer is not None and not self.send(exchange=number, **answer):
-            self._fail(number, "the answer does not fit into a frame")
+        if response is not None and not self.send(exchange=number, **response):
+            self._send_failure(number, "the answer does not fit into a frame")
 
-    def _fail(self, number: int, reason: str) -> None:
+    def _send_failure(self, number: int, reason: str) -> None:
         if number:
             self.send(exchange=number, failure=messages.ExchangeFailure(reason=reason))
 
@@ -288,7 +288,7 @@
             self.send(call_cancel=messages.CallCancel(exchange=number))
 
 
-def _frame(exchange: int, body: dict[str, t.Any]) -> Result[bytes, str]:
+def _encode_frame(exchange: int, body: dict[str, t.Any]) -> Result[bytes, str]:
     payload = messages.encode(messages.Frame(exchange=exchange, **body))
     if len(payload) > MAX_FRAME_BYTES:
         return Err(f"{len(payload)} bytes don't fit into a frame")
--- a/src/bulrushflow/wire/links.py
+++ b/src/bulrushflow/wire/links.py
@@ -16,18 +16,18 @@
 from bulrushflow.wire.link import LinkError
 
 CONNECT_TIMEOUT_S = 1.0
-RECONNECT_S = 0.2
+RECONNECT_BACKOFF_S = 0.2
 """After a failed attempt to connect, further ones to the same node fail at once for so long."""
 USER_TIMEOUT_MS = 1_500
 """A connection whose packets the other node doesn't acknowledge is given up after so long."""
-CHECK_S = 0.5
-PAUSE_FACTOR = 3.0
+CHECK_PERIOD_S = 0.5
+PAUSE_THRESHOLD_PERIODS = 3.0
 """A check that is late by so many periods shows that this node itself was paused."""
 MAX_LINKS = 64
 """Own connections kept; beyond it the one that was idle longest is closed."""
-IDLE_S = 30.0
+IDLE_TIMEOUT_S = 30.0
 """An own connection without use for so long is closed."""
-POLL_S = 0.01
+DRAIN_POLL_S = 0.01
 
 Endpoint = tuple[str, int]
 
@@ -43,9 +43,9 @@
         self._handlers: dict[str, Handler] = {}
         self._server: asyncio.Server | None = None
         self._accepted: set[Link] = set()
-        self._by_endpoint: dict[Endpoint, Link] = {}
+        self._outbound_by_endpoint: dict[Endpoint, Link] = {}
         self._connecting_by_endpoint: dict[Endpoint, asyncio.Task[Result[Link, LinkError]]] = {}
-        self._failed_until_by_endpoint: dict[Endpoint, float] = {}
+        self._retry_at_by_endpoint: dict[Endpoint, float] = {}
         self._checked_at = 0.0
 
     def handle(self, request: str, handler: Handler) -> None:
@@ -57,14 +57,14 @@
         self._server = await loop.create_server(self._accept, self._address, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
         self._checked_at = loop.time()
-        self._timers.subscribe("link-silence", CHECK_S, self._check)
+        self._timers.subscribe("link-silence", CHECK_PERIOD_S, self._check)
 
     async def on_stop(self) -> None:
         if self._server is not None:
             self._server.close()
         for connecting in self._connecting_by_endpoint.values():
             connecting.cancel()
-        for link in self._all():
+        for link in self._all_links():
             link.close()
 
     async def drain(self, timeout_s: float) -> bool:
@@ -76,14 +76,14 @@
         """
         if self._server is not None:
             self._server.close()
-        for link in self._all():
-            link.leave()
+        for link in self._all_links():
+            link.send_goodbye()
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + timeout_s
         while any(link.busy for link in self._accepted):
             if loop.time() >= ends_at:
                 return False
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(DRAIN_POLL_S)
         return True
 
     async def ensure_connected(self, endpoint: Endpoint) -> bool:
@@ -94,17 +94,17 @@
         self,
         endpoint: Endpoint,
         timeout_s: float,
-        connect_s: float = CONNECT_TIMEOUT_S,
+        connect_timeout_s: float = CONNECT_TIMEOUT_S,
         **body: t.Any,
     ) -> Result[t.Any, LinkError]:
         """Ask another node over the connection to it, opening one when there is none.
 
-        :param connect_s: longest wait for a connection.
+        :param connect_timeout_s: longest wait for a connection.
         """
-        link = self._by_endpoint.get(endpoint)
+        link = self._outbound_by_endpoint.get(endpoint)
         if link is None or not link.usable:
             started_at = asyncio.get_running_loop().time()
-            match await self._connect(endpoint, min(timeout_s, connect_s)):
+            match await self._connect(endpoint, min(timeout_s, connect_timeout_s)):
                 case Err(error):
                     return Err(error)
                 case Ok(link):
@@ -121,8 +121,8 @@
             case Err(_):
                 return
 
-    def _all(self) -> list[Link]:
-        return [*self._accepted, *self._by_endpoint.values()]
+    def _all_links(self) -> list[Link]:
+        return [*self._accepted, *self._outbound_by_endpoint.values()]
 
     def _accept(self) -> Link:
         link = Link(self._handlers, self._accepted.discard)
@@ -130,11 +130,11 @@
         return link
 
     async def _connect(self, endpoint: Endpoint, timeout_s: float) -> Result[Link, LinkError]:
-        link = self._by_endpoint.get(endpoint)
+        link = self._outbound_by_endpoint.get(endpoint)
         if link is not None and link.usable:
             return Ok(link)
         loop = asyncio.get_running_loop()
-        if loop.time() < self._failed_until_by_endpoint.get(endpoint, 0.0):
+        if loop.time() < self._retry_at_by_endpoint.get(endpoint, 0.0):
             return Err(LinkError(False, f"no connection to {endpoint}: tried just now"))
         connecting = self._connecting_by_endpoint.get(endpoint)
         if connecting is None:
@@ -152,49 +152,49 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 transport, link = await loop.create_connection(
-                    lambda: Link(self._handlers, self._forget), *endpoint
+                    lambda: Link(self._handlers, self._remove), *endpoint
                 )
         except (OSError, TimeoutError) as exc:
-            self._failed_until_by_endpoint[endpoint] = loop.time() + RECONNECT_S
+            self._retry_at_by_endpoint[endpoint] = loop.time() + RECONNECT_BACKOFF_S
             return Err(LinkError(False, f"no connection to {endpoint}: {exc!r}"))
         raw = transport.get_extra_info("socket")
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-        self._by_endpoint[endpoint] = link
-        self._close_surplus()
+        self._outbound_by_endpoint[endpoint] = link
+        self._evict_idle_link()
         return Ok(link)
 
-    def _forget(self, link: Link) -> None:
-        for endpoint, held in list(self._by_endpoint.items()):
-            if held is link:
-                del self._by_endpoint[endpoint]
+    def _remove(self, link: Link) -> None:
+        for endpoint, outbound in list(self._outbound_by_endpoint.items()):
+            if outbound is link:
+                del self._outbound_by_endpoint[endpoint]
 
-    def _close_surplus(self) -> None:
-        if len(self._by_endpoint) <= MAX_LINKS:
+    def _evict_idle_link(self) -> None:
+        if len(self._outbound_by_endpoint) <= MAX_LINKS:
             return
-        idle = [item for item in self._by_endpoint.items() if not item[1].busy]
+        idle = [item for item in self._outbound_by_endpoint.items() if not item[1].busy]
         if not idle:
             return
-        endpoint, link = min(idle, key=lambda item: item[1].used_at)
-        del self._by_endpoint[endpoint]
+        endpoint, link = min(idle, key=lambda item: item[1].last_used_at)
+        del self._outbound_by_endpoint[endpoint]
         link.close()
 
     async def _check(self) -> None:
         now = asyncio.get_running_loop().time()
-        paused = now - self._checked_at > CHECK_S * PAUSE_FACTOR
+        paused = now - self._checked_at > CHECK_PERIOD_S * PAUSE_THRESHOLD_PERIODS
         self._checked_at = now
         if paused:
             logger.info("this node did not run for a while, connections get time to answer")
-        for link in self._all():
+        for link in self._all_links():
             if paused:
-                link.reset_silence(now)
-            link.check_silence(now)
+                link.reset_keepalive(now)
+            link.check_keepalive(now)
         self._close_idle(now)
-        for endpoint, until in list(self._failed_until_by_endpoint.items()):
-            if until <= now:
-                del self._failed_until_by_endpoint[endpoint]
+        for endpoint, retry_at in list(self._retry_at_by_endpoint.items()):
+            if retry_at <= now:
+                del self._retry_at_by_endpoint[endpoint]
 
     def _close_idle(self, now: float) -> None:
-        for endpoint, link in list(self._by_endpoint.items()):
-            if not link.busy and (now - link.used_at >= IDLE_S or link.leaving):
-                del self._by_endpoint[endpoint]
+        for endpoint, link in list(self._outbound_by_endpoint.items()):
+            if not link.busy and (now - link.last_used_at >= IDLE_TIMEOUT_S or link.peer_closing):
+                del self._outbound_by_endpoint[endpoint]
                 link.close()
--- a/tests/wire/test_link.py
+++ b/tests/wire/test_link.py
@@ -11,9 +11,9 @@
 
 from bulrushflow.wire import link as link_module
 from bulrushflow.wire import messages
-from bulrushflow.wire.link import IDLE_SILENCE_S
+from bulrushflow.wire.link import IDLE_KEEPALIVE_S
 from bulrushflow.wire.link import MAX_FRAME_BYTES
-from bulrushflow.wire.link import PONG_S
+from bulrushflow.wire.link import PONG_TIMEOUT_S
 from bulrushflow.wire.link import Handler
 from bulrushflow.wire.link import Link
 from tests.targets.servers import GUARD_S
@@ -66,7 +66,7 @@
     return len(payload).to_bytes(4, "big") + payload
 
 
-def answer(text: str) -> t.Any:
+def call_answer(text: str) -> t.Any:
     """Return a call's answer whose body is ``text``."""
     return messages.CallAnswer(
         outcome=0, status=200, headers=[], body=text.encode(), reason="", in_flight=0
@@ -112,7 +112,7 @@
         stream = [(f.exchange, f.call_request.request_id) for f in sent]
         stream += [*rng.choices(stream, k=3), (10_000, "nobody's")]
         rng.shuffle(stream)
-        data = b"".join(frame(number, call_answer=answer(text)) for number, text in stream)
+        data = b"".join(frame(number, call_answer=call_answer(text)) for number, text in stream)
         while data:
             size = rng.randint(1, 40)
             link.data_received(data[:size])
@@ -168,7 +168,7 @@
 
     async def test_an_answer_that_cannot_be_given_ends_only_its_own_exchange(self) -> None:
         async def too_large(_: t.Any) -> dict[str, t.Any]:
-            return {"call_answer": answer("x" * MAX_FRAME_BYTES)}
+            return {"call_answer": call_answer("x" * MAX_FRAME_BYTES)}
 
         async def fail(_: t.Any) -> dict[str, t.Any]:
             raise RuntimeError("for the test")
@@ -178,11 +178,11 @@
                 link, transport = open_link({"call_request": handler})
                 link.data_received(frame(5, call_request=request("1")))
                 await until(lambda transport=transport: bool(transport.written))  # type: ignore
-                (told,) = transport.frames()
-                self.assertEqual((told.exchange, link.lost), (5, False))
-                asker, _ = open_link()
-                task = await self.start(asker)
-                asker.data_received(frame(1, failure=told.failure))
+                (sent,) = transport.frames()
+                self.assertEqual((sent.exchange, link.lost), (5, False))
+                client, _ = open_link()
+                task = await self.start(client)
+                client.data_received(frame(1, failure=sent.failure))
                 self.assertTrue((await task).unwrap_err().sent)
 
     async def test_malformed_input_ends_the_connection_and_its_exchanges(self) -> None:
@@ -227,9 +227,9 @@
                 now = asyncio.get_running_loop().time()
                 task = await self.start(link) if busy else None
                 transport.frames()
-                link.check_silence(now + IDLE_SILENCE_S)
+                link.check_keepalive(now + IDLE_KEEPALIVE_S)
                 self.assertIsNotNone(transport.frames()[0].ping)
-                link.check_silence(now + IDLE_SILENCE_S + PONG_S)
+                link.check_keepalive(now + IDLE_KEEPALIVE_S + PONG_TIMEOUT_S)
                 self.assertTrue(link.lost)
                 if task is not None:
                     self.assertTrue((await task).unwrap_err().sent)
@@ -237,21 +237,21 @@
     async def test_any_bytes_are_a_sign_of_life(self) -> None:
         link, _ = open_link()
         now = asyncio.get_running_loop().time()
-        link.check_silence(now + IDLE_SILENCE_S)
+        link.check_keepalive(now + IDLE_KEEPALIVE_S)
         link.data_received(frame(0, pong=messages.Heartbeat()))
-        link.check_silence(now + IDLE_SILENCE_S + PONG_S)
+        link.check_keepalive(now + IDLE_KEEPALIVE_S + PONG_TIMEOUT_S)
         self.assertFalse(link.lost)
 
     async def test_this_nodes_own_pause_is_no_silence_of_the_other(self) -> None:
         link, _ = open_link()
         now = asyncio.get_running_loop().time()
-        link.check_silence(now + IDLE_SILENCE_S)
-        link.reset_silence(now + 100)
-        link.check_silence(now + 100)
+        link.check_keepalive(now + IDLE_KEEPALIVE_S)
+        link.reset_keepalive(now + 100)
+        link.check_keepalive(now + 100)
         self.assertFalse(link.lost)
 
     async def test_an_end_that_does_not_read_is_given_up(self) -> None:
         link, transport = open_link()
-        transport.unwritten_bytes = link_module.MAX_UNWRITTEN_BYTES
+        transport.unwritten_bytes = link_module.MAX_WRITE_BUFFER_BYTES
         link.send(pong=messages.Heartbeat())
         self.assertTrue(link.lost)
--- a/tests/wire/test_links.py
+++ b/tests/wire/test_links.py
@@ -12,7 +12,7 @@
 from bulrushflow.wire import messages
 from tests.targets.servers import GUARD_S
 from tests.targets.servers import until
-from tests.wire.test_link import answer
+from tests.wire.test_link import call_answer
 from tests.wire.test_link import request
 
 
@@ -21,11 +21,11 @@
         self.timers = Timers(random.Random(1))
         await self.timers.start()
         self.addAsyncCleanup(self.timers.stop)
-        self.asker = await self.start()
+        self.client = await self.start()
         self.server = await self.start()
         self.served = 0
-        self.may_answer = asyncio.Event()
-        self.may_answer.set()
+        self.may_respond = asyncio.Event()
+        self.may_respond.set()
         self.server.handle("call_request", self.serve)
 
     async def start(self) -> Links:
@@ -36,56 +36,56 @@
 
     async def serve(self, message: t.Any) -> dict[str, t.Any]:
         self.served += 1
-        await self.may_answer.wait()
-        return {"call_answer": answer(message.request_id)}
+        await self.may_respond.wait()
+        return {"call_answer": call_answer(message.request_id)}
 
-    async def ask(self, links: Links | None = None) -> t.Any:
+    async def send_call(self, links: Links | None = None) -> t.Any:
         endpoint = ("127.0.0.1", (links or self.server).port)
-        return await self.asker.exchange(endpoint, GUARD_S, call_request=request("1"))
+        return await self.client.exchange(endpoint, GUARD_S, call_request=request("1"))
 
     async def test_calls_that_start_together_share_one_connection(self) -> None:
-        results = await asyncio.gather(*[self.ask() for _ in range(10)])
+        results = await asyncio.gather(*[self.send_call() for _ in range(10)])
         self.assertTrue(all(result.is_ok() for result in results))
         self.assertEqual(len(self.server._accepted), 1)
 
     async def test_a_cancelled_call_does_not_end_the_others_attempt_to_connect(self) -> None:
-        first, second = asyncio.create_task(self.ask()), asyncio.create_task(self.ask())
+        first, second = asyncio.create_task(self.send_call()), asyncio.create_task(self.send_call())
         await asyncio.sleep(0)
         first.cancel()
         self.assertTrue((await second).is_ok())
 
     async def test_a_lost_connection_is_replaced(self) -> None:
-        await self.ask()
+        await self.send_call()
         for link in list(self.server._accepted):
             link.abort()
-        await until(lambda: not self.asker._by_endpoint)
-        self.assertTrue((await self.ask()).is_ok())
+        await until(lambda: not self.client._outbound_by_endpoint)
+        self.assertTrue((await self.send_call()).is_ok())
 
     async def test_a_silent_connection_is_replaced_before_the_next_call(self) -> None:
-        swallowed = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        self.addCleanup(swallowed.close)
-        endpoint = ("127.0.0.1", swallowed.sockets[0].getsockname()[1])
-        await self.asker.send(endpoint, ping=messages.Heartbeat())
-        link = self.asker._by_endpoint[endpoint]
+        silent_server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
+        self.addCleanup(silent_server.close)
+        endpoint = ("127.0.0.1", silent_server.sockets[0].getsockname()[1])
+        await self.client.send(endpoint, ping=messages.Heartbeat())
+        link = self.client._outbound_by_endpoint[endpoint]
         now = asyncio.get_running_loop().time()
         for later_s in (10.0, 20.0):
-            link.check_silence(now + later_s)
-        await until(lambda: endpoint not in self.asker._by_endpoint)
+            link.check_keepalive(now + later_s)
+        await until(lambda: endpoint not in self.client._outbound_by_endpoint)
 
     async def test_no_connection_is_told_as_not_sent(self) -> None:
         await self.server.stop()
         for _ in range(2):
-            self.assertFalse((await self.ask()).unwrap_err().sent)
+            self.assertFalse((await self.send_call()).unwrap_err().sent)
 
     async def test_a_leaving_node_answers_what_it_was_sent_and_gets_nothing_new(self) -> None:
-        self.may_answer.clear()
-        running = asyncio.create_task(self.ask())
+        self.may_respond.clear()
+        running = asyncio.create_task(self.send_call())
         await until(lambda: self.served == 1)
         drain = asyncio.create_task(self.server.drain(GUARD_S))
-        (link,) = self.asker._by_endpoint.values()
-        await until(lambda: link.leaving)
+        (link,) = self.client._outbound_by_endpoint.values()
+        await until(lambda: link.peer_closing)
         self.assertFalse(drain.done())
-        self.may_answer.set()
+        self.may_respond.set()
         self.assertTrue((await running).is_ok())
         self.assertTrue(await drain)
         self.assertFalse(link.usable)
@@ -96,9 +96,9 @@
             other.handle("call_request", self.serve)
         with mock.patch.object(links_module, "MAX_LINKS", 2):
             for other in others:
-                self.assertTrue((await self.ask(other)).is_ok())
-        self.assertEqual(len(self.asker._by_endpoint), 2)
+                self.assertTrue((await self.send_call(other)).is_ok())
+        self.assertEqual(len(self.client._outbound_by_endpoint), 2)
         now = asyncio.get_running_loop().time()
-        self.asker._close_idle(now + links_module.IDLE_S)
-        self.assertEqual(self.asker._by_endpoint, {})
-        self.assertTrue((await self.ask(others[0])).is_ok())
+        self.client._close_idle(now + links_module.IDLE_TIMEOUT_S)
+        self.assertEqual(self.client._outbound_by_endpoint, {})
+        self.assertTrue((await self.send_call(others[0])).is_ok())
