--- a/benchmarks/mechanisms.py
+++ b/benchmarks/mechanisms.py
@@ -228,11 +228,11 @@
     Mechanism(
         "a stopping node waits for its callers",
         (
-            Edit("application.py", "await self.callers.drain(drain_s),", "True,"),
+            Edit("application.py", "await self.caller_server.drain(drain_s),", "True,"),
             Edit("application.py", "await self.admission_controller.drain(drain_s),", "True,"),
             Edit("application.py", "await self.links.drain(drain_s),", "True,"),
             Edit("application.py", "await self.gossip.leave()", "pass"),
-            Edit("application.py", "await asyncio.sleep(LEAVE_SPREAD_S)", "pass"),
+            Edit("application.py", "await asyncio.sleep(LEAVE_DISSEMINATION_S)", "pass"),
         ),
         ("tests.processes.test_graceful_stops",),
     ),
--- a/src/bulrushflow/application.py
+++ b/src/bulrushflow/application.py
@@ -46,7 +46,7 @@
 from bulrushflow.wire import Links
 
 EXIT_SETTINGS = 2
-EXIT_BROKEN = 3
+EXIT_INVARIANT_ERROR = 3
 NODE_VARIABLES: t.Final = {
     "node_id": "BULRUSHFLOW_NODE_ID",
     "address": "BULRUSHFLOW_ADDRESS",
@@ -57,7 +57,7 @@
 GC_THRESHOLD = 5_000
 """Objects made and kept between two collections of the youngest generation."""
 GC_GENERATIONS = 10
-LEAVE_SPREAD_S = 1.0
+LEAVE_DISSEMINATION_S = 1.0
 """Time between telling the others that this node leaves and refusing callers."""
 
 
@@ -81,12 +81,12 @@
         self.target_port = settings.target_port
         self.operator_port = settings.operator_port
         self._runners: list[web.AppRunner | web.ServerRunner] = []
-        self.store.subscribe(self._observe_configuration)
+        self.store.subscribe(self._update_offset_metric)
 
     async def on_start(self) -> None:
         await self.timers.start()
         await self.links.start()
-        self._build()
+        self._create_components()
         await self.recorder.start()
         await self.gossip.start()
         await self.dissemination.start()
@@ -94,10 +94,10 @@
             target_application(self.admission_controller), self.target_port
         )
         self.operator_port = await self._serve_application(
-            self.operators.application(), self.operator_port
+            self.operator_endpoint.application(), self.operator_port
         )
         caller_runner = web.ServerRunner(
-            self.callers.server(), shutdown_timeout=self.settings.calls.drain_s
+            self.caller_server.server(), shutdown_timeout=self.settings.calls.drain_s
         )
         self.caller_port = await self._serve(caller_runner, self.caller_port)
         logger.info(
@@ -113,9 +113,9 @@
         """Leave gracefully: tell the others, finish what is in flight, then close."""
         drain_s = self.settings.calls.drain_s
         await self.gossip.leave()
-        await asyncio.sleep(LEAVE_SPREAD_S)
+        await asyncio.sleep(LEAVE_DISSEMINATION_S)
         drained = [
-            await self.callers.drain(drain_s),
+            await self.caller_server.drain(drain_s),
             await self.admission_controller.drain(drain_s),
             await self.links.drain(drain_s),
         ]
@@ -136,17 +136,17 @@
         """Tell whether this node holds a current configuration and may take calls."""
         return self.dissemination.caught_up
 
-    def _build(self) -> None:
+    def _create_components(self) -> None:
         """Construct the parts that need the peer port or the running loop."""
         settings = self.settings
-        own = Member(
+        own_member = Member(
             settings.node_id,
             settings.data_centre,
             settings.address,
             self.links.port,
             self.clock.wall_ms(),
         )
-        self.table = MemberTable(own)
+        self.table = MemberTable(own_member)
         self.gossip = Gossip(
             self.table,
             self.shared_rollouts,
@@ -203,14 +203,14 @@
             self.rng,
             self.metrics.count_control_bytes,
         )
-        buffered = ByteBudget(settings.calls.max_buffered_bytes)
+        byte_budget = ByteBudget(settings.calls.max_buffered_bytes)
         self.admission_controller = AdmissionController(
             self.timers,
             self.driver.is_forbidden,
             self.driver.observe,
             self._announce_target,
             self.metrics,
-            buffered,
+            byte_budget,
             settings.calls.max_body_bytes,
         )
         self.forwarding = Forwarding(self.links, self.admission_controller)
@@ -222,10 +222,10 @@
             self.metrics,
             self.rng,
         )
-        self.callers = CallerServer(
-            self.store, self.dispatcher, self.metrics, settings.calls, buffered, self.is_ready
+        self.caller_server = CallerServer(
+            self.store, self.dispatcher, self.metrics, settings.calls, byte_budget, self.is_ready
         )
-        self.operators = OperatorEndpoint(
+        self.operator_endpoint = OperatorEndpoint(
             self.store,
             self.table,
             self.shared_rollouts,
@@ -244,7 +244,7 @@
         if self.table.own.target != target:
             self.gossip.announce_own(target=target)
 
-    def _observe_configuration(self, configuration: Configuration) -> None:
+    def _update_offset_metric(self, configuration: Configuration) -> None:
         self.metrics.applied_offset.set({}, configuration.offset)
 
     async def _serve_application(self, app: web.Application, port: int) -> int:
@@ -259,16 +259,16 @@
         return bound
 
 
-async def run_until_signal(service: Node) -> None:
+async def run_until_signal(node: Node) -> None:
     """Start a node, wait for SIGTERM, SIGINT or a broken invariant, and stop it."""
-    stopping = service.stopping
+    stopping = node.stopping
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    await service.start()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
+    await node.start()
     _limit_garbage_collection()
     await stopping.wait()
-    await service.stop()
+    await node.stop()
 
 
 def _limit_garbage_collection() -> None:
@@ -286,9 +286,9 @@
     :param overrides: values that replace those of the environment and of the file.
     :param check_only: check the settings and start nothing.
     """
-    given = {key: os.environ.get(name) for key, name in NODE_VARIABLES.items()}
-    given.update({key: value for key, value in overrides.items() if value is not None})
-    match load_settings(path, given):
+    values = {key: os.environ.get(name) for key, name in NODE_VARIABLES.items()}
+    values.update({key: value for key, value in overrides.items() if value is not None})
+    match load_settings(path, values):
         case Err(faults):
             for fault in faults:
                 print(f"{path}: {fault}", file=sys.stderr)
@@ -308,7 +308,7 @@
     if node.failure is None:
         return 0
     print(f"broken invariant: {node.failure}", file=sys.stderr)
-    return EXIT_BROKEN
+    return EXIT_INVARIANT_ERROR
 
 
 def main() -> None:
--- a/src/bulrushflow/logs.py
+++ b/src/bulrushflow/logs.py
@@ -64,30 +64,30 @@
 class BoundedWriter:
     """Writes lines without waiting; what the descriptor does not take is dropped and counted."""
 
-    __slots__ = ("_descriptor", "_dropped", "_waiting", "_waiting_bytes")
+    __slots__ = ("_buffered", "_buffered_bytes", "_descriptor", "_dropped_lines")
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._waiting: list[bytes] = []
-        self._waiting_bytes = 0
-        self._dropped = 0
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
+        self._dropped_lines = 0
 
     def write(self, line: bytes) -> None:
         """Queue a line and write what the descriptor takes now."""
-        if self._waiting_bytes + len(line) > MAX_BUFFERED_BYTES:
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self._flush()
-        if self._waiting_bytes + len(line) > MAX_BUFFERED_BYTES:
-            self._dropped += 1
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
+            self._dropped_lines += 1
             return
-        if self._dropped:
-            note = msgspec.json.encode({"message": "lines dropped", "count": self._dropped})
-            self._waiting.append(note + b"\n")
-            self._dropped = 0
-        self._waiting.append(line)
+        if self._dropped_lines:
+            note = msgspec.json.encode({"message": "lines dropped", "count": self._dropped_lines})
+            self._buffered.append(note + b"\n")
+            self._dropped_lines = 0
+        self._buffered.append(line)
         self._flush()
 
     def _flush(self) -> None:
-        data = b"".join(self._waiting)
+        data = b"".join(self._buffered)
         try:
             written = os.write(self._descriptor, data)
         except BlockingIOError:
@@ -96,8 +96,8 @@
             # Nobody reads the logs any more; the process goes on without them.
             written = len(data)
         rest = data[written:]
-        self._waiting = [rest] if rest else []
-        self._waiting_bytes = len(rest)
+        self._buffered = [rest] if rest else []
+        self._buffered_bytes = len(rest)
 
 
 def configure_bounded_logs(process: str, level: str = "INFO") -> None:
--- a/src/bulrushflow/metrics.py
+++ b/src/bulrushflow/metrics.py
@@ -36,7 +36,7 @@
     """The node's metrics, in a registry of their own."""
 
     __slots__ = (
-        "_seconds_by_key",
+        "_histogram_by_labels",
         "_tenants",
         "admission",
         "applied_offset",
@@ -54,7 +54,7 @@
 
     def __init__(self, max_tenant_labels: int) -> None:
         self.registry = Registry()
-        self._seconds_by_key: dict[tuple[str, str], t.Any] = {}
+        self._histogram_by_labels: dict[tuple[str, str], t.Any] = {}
         self._tenants = TenantLabels(max_tenant_labels)
         self.calls = self._counter("bulrushflow_calls_total", "Calls by outcome")
         self.retries = self._counter("bulrushflow_retries_total", "Attempts beyond the first")
@@ -92,14 +92,14 @@
         """Count one finished call."""
         label = self._tenants.label(tenant)
         self.calls.inc({"tenant": label, "service": service, "outcome": outcome})
-        histogram = self._seconds_by_key.get((label, service))
+        histogram = self._histogram_by_labels.get((label, service))
         if histogram is not None:
             histogram.observe(seconds)
             return
         # The library encodes the labels on each call; the histogram itself is found once.
         labels = {"tenant": label, "service": service}
         self.call_seconds.observe(labels, seconds)
-        self._seconds_by_key[label, service] = self.call_seconds.get_value(labels)
+        self._histogram_by_labels[label, service] = self.call_seconds.get_value(labels)
 
     def observe_admission(self, queued: int, active: int, lingering: int, capacity: int) -> None:
         """Take in the state of the own target's slots, in calls."""
--- a/src/bulrushflow/settings.py
+++ b/src/bulrushflow/settings.py
@@ -128,7 +128,7 @@
         return Err([SettingsFault("$", f"not JSON with comments: {exc}")])
     if isinstance(raw, dict) and overrides:
         raw = {**raw, **{key: value for key, value in overrides.items() if value is not None}}
-    faults = _faults_of(Settings, raw, "$")
+    faults = _field_faults(Settings, raw, "$")
     if faults:
         return Err(faults)
     settings = msgspec.convert(raw, Settings)
@@ -136,7 +136,7 @@
     return Err(faults) if faults else Ok(settings)
 
 
-def _faults_of(kind: t.Any, raw: t.Any, place: str) -> list[SettingsFault]:
+def _field_faults(kind: t.Any, raw: t.Any, place: str) -> list[SettingsFault]:
     """Collect the faults of each field, since the library stops at the first."""
     if not isinstance(raw, dict):
         return [SettingsFault(place, f"expected an object, got {type(raw).__name__}")]
@@ -152,7 +152,7 @@
                 faults.append(SettingsFault(inner, "missing"))
             continue
         if _is_struct(field.type):
-            faults.extend(_faults_of(field.type, raw[name], inner))
+            faults.extend(_field_faults(field.type, raw[name], inner))
             continue
         try:
             msgspec.convert(raw[name], field.type)
--- a/src/bulrushflow/timers.py
+++ b/src/bulrushflow/timers.py
@@ -10,11 +10,11 @@
 from mode import Service
 
 HEARTBEAT_S = 0.2
-STALL_S = 0.5
+PAUSE_THRESHOLD_S = 0.5
 """A heartbeat later than this counts as a stall of the process."""
 
 Callback = t.Callable[[], t.Awaitable[None]]
-StallCallback = t.Callable[[float], None]
+PauseCallback = t.Callable[[float], None]
 Monotonic = t.Callable[[], float]
 
 
@@ -69,19 +69,19 @@
         self._rng = rng
         self._monotonic = monotonic
         self._tasks: set[asyncio.Task[None]] = set()
-        self._on_stall: list[StallCallback] = []
-        self._beat_at: float | None = None
-        self._stall_ended_at = float("-inf")
+        self._pause_callbacks: list[PauseCallback] = []
+        self._last_beat_at: float | None = None
+        self._pause_ended_at = float("-inf")
 
     def subscribe(
-        self, name: str, period_s: float, callback: Callback, spread: float = 0.1
+        self, name: str, period_s: float, callback: Callback, jitter: float = 0.1
     ) -> Subscription:
         """Call ``callback`` about every ``period_s`` seconds.
 
-        :param spread: part of the period by which each wait varies at random.
+        :param jitter: part of the period by which each wait varies at random.
         """
         task = asyncio.get_running_loop().create_task(
-            self._repeat(name, period_s, callback, spread), name=f"timer:{name}"
+            self._repeat(name, period_s, callback, jitter), name=f"timer:{name}"
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -91,9 +91,9 @@
         """Seconds on the clock that stalls are measured with."""
         return self._monotonic()
 
-    def subscribe_pause(self, callback: StallCallback) -> None:
+    def subscribe_pause(self, callback: PauseCallback) -> None:
         """Call back with the seconds for which the process stood still, once it runs again."""
-        self._on_stall.append(callback)
+        self._pause_callbacks.append(callback)
 
     def check_pause(self) -> None:
         """Look for a stall now instead of with the next heartbeat.
@@ -102,22 +102,22 @@
         is about to judge by elapsed time calls this first.
         """
         now = self._monotonic()
-        beat_at, self._beat_at = self._beat_at, now
-        if beat_at is None or now - beat_at < STALL_S:
+        last_beat_at, self._last_beat_at = self._last_beat_at, now
+        if last_beat_at is None or now - last_beat_at < PAUSE_THRESHOLD_S:
             return
-        self._stall_ended_at = now
-        logger.warning("the process stood still for {:.1f} s", now - beat_at)
-        for callback in self._on_stall:
-            callback(now - beat_at)
+        self._pause_ended_at = now
+        logger.warning("the process stood still for {:.1f} s", now - last_beat_at)
+        for callback in self._pause_callbacks:
+            callback(now - last_beat_at)
 
     def paused_since(self, instant: float) -> bool:
         """Tell whether the process stood still after ``instant``, in seconds of the clock."""
         self.check_pause()
-        return self._stall_ended_at >= instant
+        return self._pause_ended_at >= instant
 
     async def on_start(self) -> None:
-        self._beat_at = self._monotonic()
-        self.subscribe("heartbeat", HEARTBEAT_S, self._beat, spread=0.0)
+        self._last_beat_at = self._monotonic()
+        self.subscribe("heartbeat", HEARTBEAT_S, self._beat, jitter=0.0)
 
     async def on_stop(self) -> None:
         tasks = list(self._tasks)
@@ -130,9 +130,9 @@
     async def _beat(self) -> None:
         self.check_pause()
 
-    async def _repeat(self, name: str, period_s: float, callback: Callback, spread: float) -> None:
+    async def _repeat(self, name: str, period_s: float, callback: Callback, jitter: float) -> None:
         while True:
-            await asyncio.sleep(period_s * (1 + self._rng.uniform(-spread, spread)))
+            await asyncio.sleep(period_s * (1 + self._rng.uniform(-jitter, jitter)))
             try:
                 await callback()
             except Exception:
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from bulrushflow.timers import HEARTBEAT_S
-from bulrushflow.timers import STALL_S
+from bulrushflow.timers import PAUSE_THRESHOLD_S
 from bulrushflow.timers import Timers
 
 
@@ -21,30 +21,30 @@
         return self.now
 
 
-class StallTests(unittest.IsolatedAsyncioTestCase):
+class PauseTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
         self.timers = Timers(random.Random(1), self.clock)
-        self.stalls: list[float] = []
-        self.timers.subscribe_pause(self.stalls.append)
+        self.pauses: list[float] = []
+        self.timers.subscribe_pause(self.pauses.append)
         await self.timers.start()
         self.addAsyncCleanup(self.timers.stop)
 
     async def test_an_ordinary_heartbeat_is_no_stall(self) -> None:
         self.clock.now += HEARTBEAT_S
         self.timers.check_pause()
-        self.assertEqual(self.stalls, [])
+        self.assertEqual(self.pauses, [])
         self.assertFalse(self.timers.paused_since(100.0))
 
     async def test_a_pause_is_reported_once_with_its_seconds(self) -> None:
         self.clock.now += 5.0
         self.timers.check_pause()
         self.timers.check_pause()
-        self.assertEqual(self.stalls, [5.0])
+        self.assertEqual(self.pauses, [5.0])
 
     async def test_a_round_that_spans_a_pause_is_told_from_a_later_one(self) -> None:
         began = self.clock.now
-        self.clock.now += 2 * STALL_S
+        self.clock.now += 2 * PAUSE_THRESHOLD_S
         self.assertTrue(self.timers.paused_since(began))
         self.clock.now += 0.1
         self.assertFalse(self.timers.paused_since(self.clock.now))
@@ -55,7 +55,7 @@
         self.clock.now += 3.0
         async with asyncio.timeout(30):
             await found.wait()
-        self.assertEqual(self.stalls, [3.0])
+        self.assertEqual(self.pauses, [3.0])
 
     async def test_a_failing_callback_keeps_its_timer(self) -> None:
         logger.disable("bulrushflow.timers")
