--- a/src/bulrushflow/wire/__init__.py
+++ b/src/bulrushflow/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Connections between nodes: framed thrift messages over TCP."""
+"""Connections between nodes: length-prefixed thrift messages over TCP."""
 
 from bulrushflow.wire.link import Link
 from bulrushflow.wire.link import LinkError
--- a/src/bulrushflow/wire/codec.py
+++ b/src/bulrushflow/wire/codec.py
@@ -19,8 +19,9 @@
 from bulrushflow.wire import messages
 
 _MEMBER_BYTES = 47
-"""What thrift's binary protocol needs for a member besides its texts, which are ASCII."""
+"""Encoded bytes of a member in thrift's binary protocol, apart from its texts (ASCII)."""
 _TARGET_BYTES = 32
+"""The same for a member's target."""
 _OUTCOMES = frozenset(int(outcome) for outcome in Outcome)
 
 
@@ -46,7 +47,7 @@
 
 
 def member_size(member: Member) -> int:
-    """Return the bytes that a member takes inside a message, without encoding it."""
+    """Return a member's encoded size in bytes inside a message, without encoding it."""
     size = _MEMBER_BYTES + len(member.node_id) + len(member.data_centre) + len(member.address)
     if member.target is not None:
         size += _TARGET_BYTES + len(member.target.service) + len(member.target.version)
@@ -61,7 +62,7 @@
 def member_from_message(message: t.Any) -> Member:
     """Return the member in a thrift message.
 
-    :raises ValueError: when a status or state is unknown.
+    :raises ValueError: if the status or the target's state is unknown.
     """
     target = None
     if message.target is not None:
@@ -82,19 +83,19 @@
     )
 
 
-def rollout_to_message(move: SharedRollout) -> t.Any:
-    """Return the thrift message for a move's shared state."""
+def rollout_to_message(rollout: SharedRollout) -> t.Any:
+    """Return the thrift message for a rollout's shared state."""
     return messages.MoveState(
-        move=move.offset,
-        share_permille=move.share_permille,
-        taken_back=move.rolled_back,
-        reason=move.reason,
-        decided_by=move.decided_by,
+        move=rollout.offset,
+        share_permille=rollout.share_permille,
+        taken_back=rollout.rolled_back,
+        reason=rollout.reason,
+        decided_by=rollout.decided_by,
     )
 
 
 def rollout_from_message(message: t.Any) -> SharedRollout:
-    """Return a move's shared state from its thrift message."""
+    """Return a rollout's shared state from its thrift message."""
     return SharedRollout(
         message.move,
         message.share_permille,
@@ -124,7 +125,10 @@
 
 
 def call_from_message(message: t.Any, now: float) -> Call:
-    """Return the call in a thrift message, with its deadline on this node's clock."""
+    """Return the call in a thrift message.
+
+    :param now: seconds on this node's clock, to which the message's durations are added.
+    """
     return Call(
         request_id=message.request_id,
         tenant=message.tenant,
@@ -144,7 +148,11 @@
 
 
 def result_to_message(result: CallResult, load: int, capacity: int) -> t.Any:
-    """Return the thrift message for a call's outcome, with the load of the target that ran it."""
+    """Return the thrift message for a call's outcome.
+
+    :param load: occupied slots and queued calls of this node's target.
+    :param capacity: slots of this node's target.
+    """
     if result.is_ok():
         response = result.unwrap()
         return messages.CallAnswer(
@@ -172,7 +180,7 @@
 def result_from_message(message: t.Any) -> CallResult:
     """Return a call's outcome from its thrift message."""
     if message.outcome not in _OUTCOMES:
-        # A later release knows more outcomes; without knowing this one nothing is certain.
+        # An outcome of a later release: whether the call ran can't be known.
         return CallFailure(Outcome.UNKNOWN, message.reason or "").as_result()
     outcome = Outcome(message.outcome)
     if outcome is not Outcome.ANSWERED:
@@ -194,7 +202,7 @@
 
 
 def evidence_to_message(evidence: Evidence) -> t.Any:
-    """Return the thrift message for a node's evidence on a move."""
+    """Return the thrift message for a node's evidence on a rollout."""
     routes = [
         messages.RouteEvidence(
             version=version,
@@ -218,9 +226,9 @@
 
 
 def evidence_from_message(message: t.Any) -> Evidence:
-    """Return a node's evidence on a move from its thrift message.
+    """Return a node's evidence on a rollout from its thrift message.
 
-    :raises IndexError: when a latency bucket doesn't exist.
+    :raises IndexError: if the message names a latency bucket that does not exist.
     """
     counts = {
         (r.version, r.route): RouteCounts(
@@ -265,7 +273,7 @@
 
 
 def _text_to_message(text: str) -> str | bytes:
-    # HTTP allows bytes that are not UTF-8; the HTTP library escapes them.
+    # HTTP allows bytes that are not UTF-8; the HTTP library decodes them with surrogateescape.
     return text if text.isascii() else text.encode("utf-8", "surrogateescape")
 
 
--- a/src/bulrushflow/wire/link.py
+++ b/src/bulrushflow/wire/link.py
@@ -1,4 +1,7 @@
-"""One connection between two nodes: framed thrift messages, many exchanges at a time."""
+"""One connection between two nodes: length-prefixed thrift frames, with concurrent exchanges.
+
+Each request carries an exchange number, which its response repeats.
+"""
 
 import asyncio
 import itertools
@@ -15,15 +18,15 @@
 
 MAX_FRAME_BYTES = 16 << 20
 HIGH_WATER_BYTES = 1 << 20
-"""Unwritten bytes above which requests are refused before anything is written."""
+"""Unwritten bytes above which new requests fail without being sent."""
 MAX_WRITE_BUFFER_BYTES = 64 << 20
-"""Unwritten bytes above which the connection is given up."""
+"""Unwritten bytes above which the connection is closed."""
 BUSY_KEEPALIVE_S = 1.0
-"""With exchanges open and no bytes for so long, the other end is asked for a sign of life."""
+"""Seconds without received bytes after which the peer is pinged, while exchanges are open."""
 IDLE_KEEPALIVE_S = 3.0
-"""The same without open exchanges, so that the first call after a silence doesn't find it out."""
+"""The same without open exchanges, so that a dead connection is found before the next call."""
 PONG_TIMEOUT_S = 1.0
-"""How long the sign of life may take."""
+"""Seconds without received bytes after a ping, after which the connection is closed."""
 
 _LENGTH = struct.Struct(">I")
 _RESPONSE_FIELDS = ("call_answer", "records", "members", "pong", "failure")
@@ -41,14 +44,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkError:
-    """A failed exchange. When ``sent`` is false the other node did not get the request."""
+    """A failed exchange; ``sent`` is false if the peer certainly did not receive the request."""
 
     sent: bool
     reason: str
 
 
 class Link(asyncio.Protocol):
-    """One connection; either end may ask."""
+    """One connection; requests may be sent in both directions.
+
+    :param handlers: handler of each request, by its field in the frame.
+    :param on_lost: called once the connection is lost.
+    """
 
     def __init__(self, handlers: dict[str, Handler], on_lost: t.Callable[["Link"], None]) -> None:
         self._handlers = handlers
@@ -65,11 +72,11 @@
         self.last_used_at = 0.0
         self.lost = False
         self.peer_closing = False
-        """Whether the other end said that it is about to close."""
+        """Whether the peer announced that it is about to close the connection."""
 
     @property
     def usable(self) -> bool:
-        """Whether new requests may be sent."""
+        """Whether the connection is open and the peer accepts new requests."""
         return not self.lost and not self.peer_closing
 
     @property
@@ -110,7 +117,11 @@
         while available - start >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer, start)
             if length > MAX_FRAME_BYTES:
-                logger.warning("frame of {} bytes refused", length)
+                logger.warning(
+                    "closing the connection: frame of {} bytes announced, at most {} are allowed",
+                    length,
+                    MAX_FRAME_BYTES,
+                )
                 self.abort()
                 return
             end = start + _LENGTH.size + length
@@ -124,14 +135,21 @@
             del self._buffer[:start]
 
     async def exchange(self, timeout_s: float, **body: t.Any) -> Result[t.Any, LinkError]:
-        """Send a request and wait for its answer; the answer's frame is returned.
+        """Send a request and return the frame of its response.
 
-        A cancelled call exchange tells the other node to cancel its part.
+        If a call times out or is cancelled here, a cancellation is sent to the peer.
+
+        :param body: the request, by its field in the frame.
         """
         if not self.usable:
             return Err(LinkError(False, "connection lost"))
         if self._congested:
-            return Err(LinkError(False, "the connection is congested"))
+            return Err(
+                LinkError(
+                    False,
+                    f"connection congested: write buffer exceeded {HIGH_WATER_BYTES} bytes",
+                )
+            )
         number = next(self._exchange_numbers)
         match _encode_frame(number, body):
             case Err(reason):
@@ -157,7 +175,10 @@
             self._pending.pop(number, None)
 
     def send(self, exchange: int = 0, **body: t.Any) -> bool:
-        """Send a frame without waiting for an answer; ``False`` when it can't be sent."""
+        """Send a frame without waiting for a response.
+
+        :return: whether the message fitted into a frame.
+        """
         match _encode_frame(exchange, body):
             case Err(reason):
                 logger.warning("frame not sent: {}", reason)
@@ -168,31 +189,34 @@
         return True
 
     def send_goodbye(self) -> None:
-        """Tell the other end to send no new requests here; those under way are answered."""
+        """Ask the peer to send no new requests; those already sent are still answered."""
         self.send(goodbye=messages.Goodbye())
 
     def close(self) -> None:
-        """Close the connection after what is still unwritten."""
+        """Close the connection once buffered bytes are written."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Drop the connection at once."""
+        """Close the connection at once, without writing buffered bytes."""
         self.lost = True
         if self._transport is not None:
             self._transport.abort()
 
     def check_keepalive(self, now: float) -> None:
-        """Ask for a sign of life after a silence, then give the connection up when none comes.
+        """Ping a silent peer, and close the connection if no bytes follow in time.
 
-        A connection can go silent for good while new ones work, so only bytes count as life.
+        A connection can stay silent for good while new ones to the same node work, so only
+        bytes received on this connection show that it is alive.
         """
         if self.lost:
             return
         if self._ping_sent_at is not None:
             if now - self._ping_sent_at >= PONG_TIMEOUT_S:
                 logger.warning(
-                    "connection is silent, giving it up with {} exchanges", len(self._pending)
+                    "closing the connection: silent for {} s after a ping, {} exchanges open",
+                    PONG_TIMEOUT_S,
+                    len(self._pending),
                 )
                 self.abort()
             return
@@ -202,7 +226,7 @@
             self._write(_encode_frame(0, {"ping": messages.Heartbeat()}).unwrap())
 
     def reset_keepalive(self, now: float) -> None:
-        """Start the silence anew, since this node itself did not run for a while."""
+        """Restart the keep-alive period after a pause of this node itself."""
         self._last_received_at = now
         self._ping_sent_at = None
 
@@ -210,7 +234,10 @@
         if self._transport is None or self.lost:
             return
         if self._transport.get_write_buffer_size() + len(data) > MAX_WRITE_BUFFER_BYTES:
-            logger.warning("the other end does not read, giving the connection up")
+            logger.warning(
+                "closing the connection: the peer does not read, more than {} bytes are unwritten",
+                MAX_WRITE_BUFFER_BYTES,
+            )
             self.abort()
             return
         self._transport.write(data)
@@ -218,7 +245,7 @@
     def _handle_frame(self, payload: bytes) -> None:
         match messages.decode(messages.Frame, payload):
             case Err(reason):
-                logger.warning("malformed frame, dropping the connection: {}", reason)
+                logger.warning("closing the connection: malformed frame: {}", reason)
                 self.abort()
                 return
             case Ok(frame):
@@ -245,7 +272,7 @@
 
     def _complete_exchange(self, frame: t.Any) -> None:
         future = self._pending.get(frame.exchange)
-        # A late answer finds no exchange and is dropped.
+        # The exchange of a late response is gone; the response is ignored.
         if future is None or future.done():
             return
         if frame.failure is not None:
@@ -255,12 +282,12 @@
 
     def _start_handler(self, number: int, handler: Handler, message: t.Any) -> None:
         if number in self._tasks:
-            logger.warning("exchange number used twice, dropping the connection")
+            logger.warning("closing the connection: exchange number {} is in use already", number)
             self.abort()
             return
         task = asyncio.get_running_loop().create_task(self._handle(number, handler, message))
         if number == 0:
-            # A message that wants no answer; several may be handled at once.
+            # Number 0 marks one-way messages, of which several may be handled at once.
             self._one_way_tasks.add(task)
             task.add_done_callback(self._one_way_tasks.discard)
             return
@@ -273,11 +300,15 @@
         except asyncio.CancelledError:
             raise
         except Exception:
-            logger.exception("handling a request failed")
-            self._send_failure(number, "the other node failed to handle the request")
+            logger.exception("the handler of exchange {} failed", number)
+            self._send_failure(
+                number, "the peer failed to handle the request; its log has the exception"
+            )
             return
         if response is not None and not self.send(exchange=number, **response):
-            self._send_failure(number, "the answer does not fit into a frame")
+            self._send_failure(
+                number, f"the response does not fit into a frame of {MAX_FRAME_BYTES} bytes"
+            )
 
     def _send_failure(self, number: int, reason: str) -> None:
         if number:
@@ -291,5 +322,7 @@
 def _encode_frame(exchange: int, body: dict[str, t.Any]) -> Result[bytes, str]:
     payload = messages.encode(messages.Frame(exchange=exchange, **body))
     if len(payload) > MAX_FRAME_BYTES:
-        return Err(f"{len(payload)} bytes don't fit into a frame")
+        return Err(
+            f"message of {len(payload)} bytes exceeds the frame limit of {MAX_FRAME_BYTES} bytes"
+        )
     return Ok(_LENGTH.pack(len(payload)) + payload)
--- a/src/bulrushflow/wire/links.py
+++ b/src/bulrushflow/wire/links.py
@@ -1,4 +1,7 @@
-"""The connections to other nodes: opened when needed, bounded, checked, replaced."""
+"""The connections between this node and others.
+
+Outbound connections are opened on demand, limited in number, checked and replaced when lost.
+"""
 
 import asyncio
 import socket
@@ -17,23 +20,23 @@
 
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_BACKOFF_S = 0.2
-"""After a failed attempt to connect, further ones to the same node fail at once for so long."""
+"""Seconds after a failed connection attempt in which further ones to the same node fail at once."""
 USER_TIMEOUT_MS = 1_500
-"""A connection whose packets the other node doesn't acknowledge is given up after so long."""
+"""TCP_USER_TIMEOUT: unacknowledged data older than this makes the system close the connection."""
 CHECK_PERIOD_S = 0.5
 PAUSE_THRESHOLD_PERIODS = 3.0
-"""A check that is late by so many periods shows that this node itself was paused."""
+"""Check periods between two checks above which this node counts as paused."""
 MAX_LINKS = 64
-"""Own connections kept; beyond it the one that was idle longest is closed."""
+"""Bound on outbound connections; beyond it the one unused for longest is closed."""
 IDLE_TIMEOUT_S = 30.0
-"""An own connection without use for so long is closed."""
+"""Seconds without use after which an outbound connection is closed."""
 DRAIN_POLL_S = 0.01
 
 Endpoint = tuple[str, int]
 
 
 class Links(Service):
-    """The listener for other nodes' connections and this node's own connections to them."""
+    """Accepts connections from other nodes and opens outbound connections to them."""
 
     def __init__(self, address: str, port: int, timers: Timers) -> None:
         super().__init__()
@@ -49,7 +52,11 @@
         self._checked_at = 0.0
 
     def handle(self, request: str, handler: Handler) -> None:
-        """Serve one kind of request; the handler returns the answer's frame field."""
+        """Register the handler of one kind of request.
+
+        :param request: the request's field in the frame.
+        :param handler: returns the response by its field in the frame; ``None`` sends none.
+        """
         self._handlers[request] = handler
 
     async def on_start(self) -> None:
@@ -68,11 +75,11 @@
             link.close()
 
     async def drain(self, timeout_s: float) -> bool:
-        """Take no new connections, tell the others to send no new requests, finish the rest.
+        """Accept no new connections, ask peers to send no new requests, and finish open exchanges.
 
-        Requests that were sent before the others heard of it are still answered.
+        Requests that peers send before they receive the notice are still answered.
 
-        :return: whether all ended in time.
+        :return: whether all accepted connections became idle within ``timeout_s``.
         """
         if self._server is not None:
             self._server.close()
@@ -87,7 +94,7 @@
         return True
 
     async def ensure_connected(self, endpoint: Endpoint) -> bool:
-        """Open a connection where there is none; tell whether there is one now."""
+        """Open a connection unless one is open; return whether one is open now."""
         return (await self._connect(endpoint, CONNECT_TIMEOUT_S)).is_ok()
 
     async def exchange(
@@ -97,9 +104,11 @@
         connect_timeout_s: float = CONNECT_TIMEOUT_S,
         **body: t.Any,
     ) -> Result[t.Any, LinkError]:
-        """Ask another node over the connection to it, opening one when there is none.
+        """Send a request to another node, over a new connection if none is open.
 
-        :param connect_timeout_s: longest wait for a connection.
+        :param timeout_s: bound on the whole exchange, the wait for a connection included.
+        :param connect_timeout_s: bound on the wait for a connection.
+        :param body: the request, by its field in the frame.
         """
         link = self._outbound_by_endpoint.get(endpoint)
         if link is None or not link.usable:
@@ -110,11 +119,11 @@
                 case Ok(link):
                     timeout_s -= asyncio.get_running_loop().time() - started_at
         if timeout_s <= 0:
-            return Err(LinkError(False, "no time left"))
+            return Err(LinkError(False, f"no time left: {timeout_s:.3f} s"))
         return await link.exchange(timeout_s, **body)
 
     async def send(self, endpoint: Endpoint, **body: t.Any) -> None:
-        """Send without an answer; a connection that can't be had drops the message."""
+        """Send a one-way message; it is dropped if no connection can be opened."""
         match await self._connect(endpoint, CONNECT_TIMEOUT_S):
             case Ok(link):
                 link.send(**body)
@@ -135,17 +144,24 @@
             return Ok(link)
         loop = asyncio.get_running_loop()
         if loop.time() < self._retry_at_by_endpoint.get(endpoint, 0.0):
-            return Err(LinkError(False, f"no connection to {endpoint}: tried just now"))
+            return Err(
+                LinkError(
+                    False,
+                    f"no connection to {endpoint}: failed less than {RECONNECT_BACKOFF_S} s ago",
+                )
+            )
         connecting = self._connecting_by_endpoint.get(endpoint)
         if connecting is None:
             connecting = loop.create_task(self._open(endpoint))
             self._connecting_by_endpoint[endpoint] = connecting
             connecting.add_done_callback(lambda _: self._connecting_by_endpoint.pop(endpoint, None))
         try:
-            # Others wait for the same connection, so that a waiter's end must not end the attempt.
+            # Other callers share the attempt, so the end of one wait must not cancel it.
             return await asyncio.wait_for(asyncio.shield(connecting), timeout_s)
         except TimeoutError:
-            return Err(LinkError(False, f"no connection to {endpoint} in time"))
+            return Err(
+                LinkError(False, f"no connection to {endpoint} in time: waited {timeout_s:.3f} s")
+            )
 
     async def _open(self, endpoint: Endpoint) -> Result[Link, LinkError]:
         loop = asyncio.get_running_loop()
@@ -183,7 +199,11 @@
         paused = now - self._checked_at > CHECK_PERIOD_S * PAUSE_THRESHOLD_PERIODS
         self._checked_at = now
         if paused:
-            logger.info("this node did not run for a while, connections get time to answer")
+            logger.info(
+                "this node was paused for over {} s; restarting the keep-alive of {} connections",
+                CHECK_PERIOD_S * PAUSE_THRESHOLD_PERIODS,
+                len(self._all_links()),
+            )
         for link in self._all_links():
             if paused:
                 link.reset_keepalive(now)
--- a/src/bulrushflow/wire/messages.py
+++ b/src/bulrushflow/wire/messages.py
@@ -1,4 +1,4 @@
-"""Thrift messages between nodes, and their binary encoding."""
+"""The thrift messages between nodes, and their binary encoding with a checksum."""
 
 import pathlib
 import struct
@@ -22,11 +22,11 @@
 
 
 class _Fields(t.NamedTuple):
-    """The fields of a kind of message that are checked after decoding."""
+    """Fields of a message class that are checked after decoding."""
 
     required: tuple[str, ...]
     nested: tuple[tuple[str, bool], ...]
-    """Fields that hold a struct, and whether they hold a list of them."""
+    """Names of fields with structs, and whether the field is a list of structs."""
 
 
 _fields_by_kind: dict[t.Any, _Fields] = {}
@@ -61,7 +61,7 @@
 
 
 def encode(message: t.Any) -> bytes:
-    """Encode a message as a checksum and thrift's binary protocol."""
+    """Return a message in thrift's binary protocol, after a checksum of it."""
     buffer = TCyMemoryBuffer()
     protocol = TCyBinaryProtocol(buffer)
     message.write(protocol)
@@ -71,20 +71,20 @@
 
 
 def decode(kind: t.Any, data: bytes) -> Result[t.Any, str]:
-    """Decode a message of ``kind``; the error says what is wrong with it.
+    """Decode a message of class ``kind``; the error says why ``data`` is invalid.
 
-    The library's decoder does not stop at the end of its input: a stray datagram that claims a
-    list of 2**31 items would keep it busy for minutes. So the checksum comes first. Fields that
-    are absent are left empty by the library, so the required ones are checked here.
+    The library's decoder reads on after the end of its input: a stray datagram that claims a
+    list of 2**31 items would keep it busy for minutes. Therefore the checksum is compared first.
+    The library also leaves absent fields ``None``, so required ones are checked here.
     """
     body = data[_CHECKSUM.size :]
     if len(data) < _CHECKSUM.size or _CHECKSUM.unpack_from(data)[0] != xxhash.xxh32_intdigest(body):
-        return Err("the checksum is wrong")
+        return Err(f"no valid checksum in {len(data)} bytes")
     message = kind()
     try:
         message.read(TCyBinaryProtocol(TCyMemoryBuffer(body)))
     except Exception as exc:
-        # Whatever a peer sends must not stop this node.
+        # The library raises various exceptions on malformed input; none may stop this node.
         return Err(f"{type(exc).__name__}: {exc}")
     missing = _missing_field(message)
     return Err(f"field {missing} is missing") if missing else Ok(message)
--- a/src/bulrushflow/wire/messages.thrift
+++ b/src/bulrushflow/wire/messages.thrift
@@ -1,5 +1,5 @@
-// Messages between nodes. Fields are only ever added, as optional ones with new numbers, so that
-// nodes of two releases understand each other.
+// Messages between nodes. To stay compatible between releases, fields are only added: optional
+// ones with new numbers.
 
 struct Target {
   1: required string service_name
@@ -18,7 +18,7 @@
   7: optional Target target
 }
 
-// The shared state of one move, named by the offset of the record that started it.
+// The shared state of one rollout, identified by the offset of the record that started it.
 struct MoveState {
   1: required i64 move
   2: required i32 share_permille
@@ -27,13 +27,13 @@
   5: required string decided_by
 }
 
-// What every datagram carries besides its own purpose.
+// Membership and rollout state that every datagram carries besides its own purpose.
 struct Gossip {
   1: required string sender
   2: required i64 offset
   3: required list<Member> members
   4: required list<MoveState> moves
-  // The digest of the sender's live members, and the sender's own incarnation.
+  // The digest of the members that the sender records as alive, and the sender's incarnation.
   30: optional i64 digest
   31: optional i64 incarnation
 }
@@ -46,21 +46,21 @@
   1: required i64 sequence
 }
 
-// Asks the receiver to ping another node and to pass the ack on.
+// Asks the receiver to ping another node and to forward its ack.
 struct PingRequest {
   1: required i64 sequence
   2: required string address
   3: required i32 peer_port
-  // The node that has to answer there; another one may have taken its address over.
+  // The node expected at this address, which another node may have taken over.
   30: optional string node_id
 }
 
-// Four bytes for each bucket of members; the receiver answers with what differs.
+// Four bytes for each bucket of members; the receiver returns the buckets that differ.
 struct BucketDigests {
   1: required binary digests
 }
 
-// Asks for the members of some buckets, or for a paged exchange of the whole table.
+// Requests the members of some buckets, or a paged exchange of the whole table.
 struct BucketRequest {
   1: required list<i32> buckets
   2: required bool whole_table
@@ -93,11 +93,11 @@
   10: required i32 timeout_ms
   11: required bool idempotent
   50: optional i32 attempt
-  // 0 is the most important.
+  // 0 is the highest priority.
   60: optional i32 priority
-  // How far the sender has read the operator's records.
+  // Offset up to which the sender has read the operator's records.
   61: optional i64 read_offset
-  // Time in which the answer has its full worth.
+  // The latency objective that is left, in milliseconds; after it the answer counts as late.
   62: optional i32 useful_ms
 }
 
@@ -109,9 +109,9 @@
   5: required string reason
   6: required i32 in_flight
   50: optional i32 capacity
-  // How far the sender has read the operator's records.
+  // Offset up to which the sender has read the operator's records.
   61: optional i64 read_offset
-  // The call reached the target, which refused it.
+  // Whether the call reached the target, which refused it.
   62: optional bool arrived
 }
 
@@ -129,35 +129,37 @@
   1: required i64 from_offset
 }
 
-// Records from the asked offset, or a snapshot where that offset is no longer held.
+// Records from the requested offset, or a snapshot if records from there are no longer kept.
 struct Records {
   1: required list<Record> records
   2: optional binary snapshot
-  // Version held by the answering node, and whether it knows that to be the highest.
+  // The version of the responding node, and whether that is known to be the highest.
   20: optional i64 offset
   21: optional bool fresh
-  // Nothing was looked up; to be asked again later.
+  // The request was not served because the node is busy; it may be retried later.
   22: optional bool busy
-  // Whether the answering node's last read of the log succeeded.
+  // Whether the responding node's last read of the log succeeded.
   23: optional bool reads_log
-  // Whether the answering node, or one it heard, has known the highest version since its start.
+  // Whether the responding node, or one that it pulled from, has been known since its start to
+  // have the highest version.
   24: optional bool was_fresh
 }
 
-// New records on their way down the tree of ``root``; without records, only that they exist.
+// New records, forwarded along the dissemination tree of ``root``; without records, only an
+// announcement that they exist.
 struct RecordsPush {
   20: required string root
   21: required i64 offset
   22: required list<Record> records
 }
 
-// Asks for a page of the member table: the members whose ids come after the given one.
+// Requests a page of the member table: members whose ids follow the given one.
 struct MembersRequest {
   1: required Gossip gossip
   30: optional string after
 }
 
-// A page. A busy node gives a few members instead, of which the asker may ask another one.
+// A page of the member table. A busy node returns a few members instead, as other nodes to ask.
 struct Members {
   1: required Gossip gossip
   30: optional string next_after
@@ -172,39 +174,39 @@
   5: required double latency_sum_s
   6: required double latency_square_sum
   7: required list<i64> latency_buckets
-  // Index and count of each bucket that isn't empty, in turn; replaces latency_buckets.
+  // Alternating index and count of each non-empty bucket; replaces latency_buckets.
   40: optional list<i32> sparse_buckets
 }
 
-// Cumulative counts that one node saw at its own target since a move began.
+// Cumulative counts of one node's own target since a rollout began.
 struct EvidenceReport {
   1: required i64 move
   2: required string node_id
   3: required i64 sequence
   4: required list<RouteEvidence> routes
-  // Tells a node's process from the one before its restart.
+  // Distinguishes a node's process from the one before its restart.
   40: optional i64 incarnation
 }
 
 struct Heartbeat {
 }
 
-// The answer to a request that the other node could not handle or whose answer could not be sent.
+// The response to a request whose handler failed or whose response could not be sent.
 struct ExchangeFailure {
   1: required string reason
 }
 
-// The sender is about to close the connection and takes no new requests on it.
+// The sender is about to close the connection and accepts no new requests on it.
 struct Goodbye {
 }
 
-// A record of the state that the store keeps, passed on without waiting for the store.
+// A record of the state in the store, sent to other nodes without waiting for the store.
 struct StateNotice {
   1: required string key
   2: required binary value
 }
 
-// One message on a connection between nodes. Requests and answers share an exchange number.
+// One message on a connection between nodes. A response has its request's exchange number.
 struct Frame {
   1: required i64 exchange
   2: optional CallRequest call_request
--- a/tests/wire/test_link.py
+++ b/tests/wire/test_link.py
@@ -1,4 +1,4 @@
-"""Tests of one connection between nodes, over a transport in memory."""
+"""Tests of one connection between nodes, over an in-memory transport."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 class MemoryTransport(asyncio.Transport):
-    """Keeps what was written; the connection's other end is the test."""
+    """A transport that keeps written bytes; the test acts as the peer."""
 
     def __init__(self, link: Link) -> None:
         super().__init__()
@@ -42,7 +42,7 @@
         self._link.connection_lost(None)
 
     def frames(self) -> list[t.Any]:
-        """Decode and forget what was written."""
+        """Return the frames written since the last call."""
         frames, data = [], bytes(self.written)
         self.written.clear()
         while data:
@@ -53,7 +53,7 @@
 
 
 def open_link(handlers: dict[str, Handler] | None = None) -> tuple[Link, MemoryTransport]:
-    """Return a link that is connected to the test."""
+    """Return a connected link and its transport."""
     link = Link(handlers or {}, lambda _: None)
     transport = MemoryTransport(link)
     link.connection_made(transport)
@@ -61,13 +61,13 @@
 
 
 def frame(exchange: int, **body: t.Any) -> bytes:
-    """Encode a frame as the other end would."""
+    """Return an encoded frame as a peer sends it."""
     payload = messages.encode(messages.Frame(exchange=exchange, **body))
     return len(payload).to_bytes(4, "big") + payload
 
 
 def call_answer(text: str) -> t.Any:
-    """Return a call's answer whose body is ``text``."""
+    """Return the response to a call, with ``text`` as its body."""
     return messages.CallAnswer(
         outcome=0, status=200, headers=[], body=text.encode(), reason="", in_flight=0
     )
@@ -93,10 +93,12 @@
 class ExchangeTests(unittest.TestCase):
     @settings(max_examples=60)
     @given(st.integers(0, 2**32))
-    def test_answers_late_crossed_or_doubled_reach_only_their_own_exchange(self, seed: int) -> None:
-        asyncio.run(self._cross(random.Random(seed)))
+    def test_reordered_late_and_duplicate_responses_reach_only_their_exchange(
+        self, seed: int
+    ) -> None:
+        asyncio.run(self._reorder(random.Random(seed)))
 
-    async def _cross(self, rng: random.Random) -> None:
+    async def _reorder(self, rng: random.Random) -> None:
         link, transport = open_link()
         calls = {}
         for i in range(rng.randint(1, 12)):
@@ -133,7 +135,7 @@
         await asyncio.sleep(0)
         return task
 
-    async def test_a_timeout_and_a_cancellation_tell_the_other_node(self) -> None:
+    async def test_a_timeout_and_a_cancellation_send_a_call_cancel(self) -> None:
         for end in ("timeout", "cancellation"):
             with self.subTest(end):
                 link, transport = open_link()
@@ -144,7 +146,7 @@
                 sent, cancel = transport.frames()
                 self.assertEqual(cancel.call_cancel.exchange, sent.exchange)
 
-    async def test_nothing_is_sent_on_what_takes_no_requests(self) -> None:
+    async def test_requests_are_not_sent_on_an_unusable_connection(self) -> None:
         for state in ("congested", "leaving", "lost"):
             with self.subTest(state):
                 link, transport = open_link()
@@ -158,7 +160,7 @@
                 self.assertFalse(result.unwrap_err().sent)
                 self.assertEqual(transport.frames(), [])
 
-    async def test_a_request_too_large_for_a_frame_is_refused_unsent(self) -> None:
+    async def test_a_request_too_large_for_a_frame_is_not_sent(self) -> None:
         link, transport = open_link()
         big = request("1")
         big.body = bytes(MAX_FRAME_BYTES)
@@ -166,7 +168,7 @@
         self.assertFalse(result.unwrap_err().sent)
         self.assertEqual((transport.frames(), link.lost), ([], False))
 
-    async def test_an_answer_that_cannot_be_given_ends_only_its_own_exchange(self) -> None:
+    async def test_a_failed_or_too_large_response_fails_only_its_exchange(self) -> None:
         async def too_large(_: t.Any) -> dict[str, t.Any]:
             return {"call_answer": call_answer("x" * MAX_FRAME_BYTES)}
 
@@ -185,7 +187,7 @@
                 client.data_received(frame(1, failure=sent.failure))
                 self.assertTrue((await task).unwrap_err().sent)
 
-    async def test_malformed_input_ends_the_connection_and_its_exchanges(self) -> None:
+    async def test_malformed_input_closes_the_connection_and_fails_its_exchanges(self) -> None:
         twice = frame(3, call_request=request("1")) * 2
         cases = {
             "oversized": (MAX_FRAME_BYTES + 1).to_bytes(4, "big"),
@@ -204,7 +206,7 @@
                 self.assertTrue((await task).unwrap_err().sent)
                 self.assertTrue(link.lost)
 
-    async def test_a_lost_connection_cancels_the_calls_that_it_brought(self) -> None:
+    async def test_a_lost_connection_cancels_the_calls_received_on_it(self) -> None:
         cancelled = asyncio.Event()
 
         async def hang(_: t.Any) -> None:
@@ -220,7 +222,7 @@
         link.connection_lost(None)
         await asyncio.wait_for(cancelled.wait(), GUARD_S)
 
-    async def test_silence_is_found_on_idle_and_busy_connections(self) -> None:
+    async def test_a_silent_connection_is_closed_whether_idle_or_busy(self) -> None:
         for busy in (False, True):
             with self.subTest(busy=busy):
                 link, transport = open_link()
@@ -234,7 +236,7 @@
                 if task is not None:
                     self.assertTrue((await task).unwrap_err().sent)
 
-    async def test_any_bytes_are_a_sign_of_life(self) -> None:
+    async def test_received_bytes_keep_the_connection_open(self) -> None:
         link, _ = open_link()
         now = asyncio.get_running_loop().time()
         link.check_keepalive(now + IDLE_KEEPALIVE_S)
@@ -242,7 +244,7 @@
         link.check_keepalive(now + IDLE_KEEPALIVE_S + PONG_TIMEOUT_S)
         self.assertFalse(link.lost)
 
-    async def test_this_nodes_own_pause_is_no_silence_of_the_other(self) -> None:
+    async def test_a_pause_of_this_node_does_not_count_as_silence_of_the_peer(self) -> None:
         link, _ = open_link()
         now = asyncio.get_running_loop().time()
         link.check_keepalive(now + IDLE_KEEPALIVE_S)
@@ -250,7 +252,7 @@
         link.check_keepalive(now + 100)
         self.assertFalse(link.lost)
 
-    async def test_an_end_that_does_not_read_is_given_up(self) -> None:
+    async def test_a_connection_whose_peer_does_not_read_is_closed(self) -> None:
         link, transport = open_link()
         transport.unwritten_bytes = link_module.MAX_WRITE_BUFFER_BYTES
         link.send(pong=messages.Heartbeat())
--- a/tests/wire/test_links.py
+++ b/tests/wire/test_links.py
@@ -1,4 +1,4 @@
-"""Tests of the connections to other nodes, over loopback."""
+"""Tests of the connections between nodes, over loopback."""
 
 import asyncio
 import random
@@ -43,12 +43,12 @@
         endpoint = ("127.0.0.1", (links or self.server).port)
         return await self.client.exchange(endpoint, GUARD_S, call_request=request("1"))
 
-    async def test_calls_that_start_together_share_one_connection(self) -> None:
+    async def test_concurrent_calls_share_one_connection(self) -> None:
         results = await asyncio.gather(*[self.send_call() for _ in range(10)])
         self.assertTrue(all(result.is_ok() for result in results))
         self.assertEqual(len(self.server._accepted), 1)
 
-    async def test_a_cancelled_call_does_not_end_the_others_attempt_to_connect(self) -> None:
+    async def test_a_cancelled_call_does_not_cancel_a_shared_connection_attempt(self) -> None:
         first, second = asyncio.create_task(self.send_call()), asyncio.create_task(self.send_call())
         await asyncio.sleep(0)
         first.cancel()
@@ -72,12 +72,12 @@
             link.check_keepalive(now + later_s)
         await until(lambda: endpoint not in self.client._outbound_by_endpoint)
 
-    async def test_no_connection_is_told_as_not_sent(self) -> None:
+    async def test_a_failed_connection_attempt_is_reported_as_not_sent(self) -> None:
         await self.server.stop()
         for _ in range(2):
             self.assertFalse((await self.send_call()).unwrap_err().sent)
 
-    async def test_a_leaving_node_answers_what_it_was_sent_and_gets_nothing_new(self) -> None:
+    async def test_a_draining_node_answers_open_requests_and_receives_no_new_ones(self) -> None:
         self.may_respond.clear()
         running = asyncio.create_task(self.send_call())
         await until(lambda: self.served == 1)
@@ -90,7 +90,7 @@
         self.assertTrue(await drain)
         self.assertFalse(link.usable)
 
-    async def test_own_connections_are_bounded_and_idle_ones_closed(self) -> None:
+    async def test_outbound_connections_are_bounded_and_idle_ones_closed(self) -> None:
         others = [await self.start() for _ in range(3)]
         for other in others:
             other.handle("call_request", self.serve)
--- a/tests/wire/test_messages.py
+++ b/tests/wire/test_messages.py
@@ -27,7 +27,7 @@
 
 
 class DecodeTests(unittest.TestCase):
-    def test_binary_fields_come_back_as_bytes(self) -> None:
+    def test_binary_fields_are_decoded_as_bytes(self) -> None:
         for body in (b"", b"text", b"\xff\x00", "ž".encode()):
             with self.subTest(body):
                 frame = messages.Frame(exchange=1, records=messages.Records(records=[]))
@@ -47,7 +47,8 @@
         reason = messages.decode(messages.Frame, data).unwrap_err()
         self.assertEqual(reason, "field Record.appended_at_ms is missing")
 
-    def test_a_huge_claimed_length_is_refused_at_once(self) -> None:
+    def test_a_forged_list_length_is_rejected(self) -> None:
+        # Without the checksum the library would read the claimed items past the end of the input.
         gossip = messages.Gossip(sender="a", offset=1, members=[], moves=[])
         data = messages.encode(messages.Datagram(gossip=gossip))
         length_at = data.index(b"\x0f\x00\x03\x0c") + 4
@@ -64,7 +65,9 @@
 
     @settings(max_examples=300)
     @given(st.integers(0, len(FRAME)), st.binary(max_size=20))
-    def test_a_decoded_call_can_be_used_whatever_the_input(self, cut: int, tail: bytes) -> None:
+    def test_a_call_decoded_from_corrupt_input_can_be_converted(
+        self, cut: int, tail: bytes
+    ) -> None:
         result = messages.decode(messages.Frame, FRAME[:cut] + tail)
         if result.is_ok() and result.unwrap().call_request is not None:
             call = codec.call_from_message(result.unwrap().call_request, 0.0)
