--- a/src/bulrushflow/settings.py
+++ b/src/bulrushflow/settings.py
@@ -1,4 +1,4 @@
-"""Checked settings of a node, read from one JSON-with-comments file."""
+"""A node's settings: their definition, and checks of a JSON-with-comments file."""
 
 import ipaddress
 import pathlib
@@ -19,68 +19,68 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How to reach the platform's append-only log."""
+    """Access to the platform's append-only log."""
 
     url: str
-    """Where the log answers, with its port."""
+    """URL of the log, with its port."""
     request_timeout_s: Seconds = 5.0
     """Seconds after which a request to the log counts as failed."""
     long_poll_s: Seconds = 10.0
     """Seconds that a read may wait at the log for the next record."""
     append_rate_per_s: Seconds = 2.0
-    """Appends a second that this node makes for the system's own records."""
+    """Highest rate of this node's appends of the system's own records, per second."""
     snapshot_every_records: t.Annotated[int, msgspec.Meta(ge=2)] = 1024
-    """Records after which a snapshot is due; well below what the log keeps."""
+    """Records after which a snapshot is due; well below the number that the log retains."""
     snapshot_every_s: Seconds = 3600.0
-    """Seconds after which a snapshot is due; well below the time the log keeps records."""
+    """Seconds after which a snapshot is due; well below the log's retention time."""
 
 
 class GossipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Timing of membership; all values in seconds."""
+    """Timing of failure detection; all values in seconds."""
 
     period_s: Seconds = 0.5
-    """Time between two probes by this node."""
+    """Time between two probes sent by this node."""
     ack_timeout_s: Seconds = 0.2
-    """Time to wait for the answer to a probe."""
+    """Time to wait for the acknowledgement of a probe."""
     suspicion_s: Seconds = 3.0
-    """Time that a suspected member has to refute before it counts as dead."""
+    """Time in which a suspected member can refute the suspicion before it counts as dead."""
 
 
 class CallSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits on calls taken by this node."""
+    """Limits on calls accepted by this node."""
 
     max_body_bytes: t.Annotated[int, msgspec.Meta(ge=0, le=8 << 20)] = 1 << 20
-    """Bound on the body of one request or answer; a frame between nodes holds it whole."""
+    """Bound on the body of one request or response, which has to fit into a frame between nodes."""
     max_buffered_bytes: t.Annotated[int, msgspec.Meta(ge=0)] = 32 << 20
-    """Bound on all bodies held at once."""
+    """Bound on all bodies buffered at once."""
     max_in_flight: t.Annotated[int, msgspec.Meta(ge=1)] = 512
-    """Calls from callers held at once; more are refused as not run."""
+    """Bound on callers' calls in flight; further ones are refused as not run."""
     max_tenant_labels: t.Annotated[int, msgspec.Meta(ge=1)] = 50
-    """Tenants with a label of their own on metrics; later ones share one."""
+    """Tenants with a label value of their own in metrics; later ones share one value."""
     drain_s: Seconds = 10.0
     """Seconds that a stopping node waits for calls in flight."""
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Level and shape of the process's own logs."""
+    """Level and format of the process's logs."""
 
     level: t.Literal["TRACE", "DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
-    """The least level that is written."""
+    """Lowest level that is written."""
     format: t.Literal["text", "json"] = "text"
-    """Lines for people, or one JSON object a line."""
+    """Human-readable lines, or one JSON object per line."""
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """All settings of one node."""
 
     node_id: Name
-    """Unique among all nodes, and new for a replaced instance."""
+    """Unique among all nodes; a replaced instance needs a new one."""
     data_centre: Name
-    """Where the instance stands."""
+    """Data centre of the instance."""
     address: str
-    """IP address that the other nodes reach this one at."""
+    """IP address at which other nodes reach this one."""
     caller_port: Port
-    """TCP port for callers; 0 lets the system pick, here and below."""
+    """TCP port for callers; 0 lets the system choose a free one, also for the ports below."""
     peer_port: Port
     """TCP and UDP port for other nodes."""
     target_port: Port
@@ -89,14 +89,14 @@
     """TCP port for operators and for metrics."""
     platform: PlatformSettings
     seeds: tuple[str, ...] = ()
-    """IP:PORT of nodes to ask while the log can't be read."""
+    """IP:PORT of nodes to contact while the log can't be read."""
     gossip: GossipSettings = GossipSettings()
     calls: CallSettings = CallSettings()
     log: LogSettings = LogSettings()
 
 
 class SettingsFault(msgspec.Struct, frozen=True):
-    """One fault and its place in the file, such as ``$.platform.url``."""
+    """An invalid setting and its place in the file, such as ``$.platform.url``."""
 
     place: str
     message: str
@@ -109,9 +109,9 @@
 
 
 def load_settings(path: pathlib.Path, overrides: dict[str, t.Any] | None = None) -> SettingsResult:
-    """Read and check a settings file; every fault found is returned.
+    """Read and check a settings file; the error lists all invalid settings.
 
-    :param overrides: top-level values that replace those in the file, ``None`` values left out.
+    :param overrides: top-level values that override those of the file; ``None`` is ignored.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -121,7 +121,7 @@
 
 
 def parse_settings(text: str, overrides: dict[str, t.Any] | None = None) -> SettingsResult:
-    """Check settings given as JSON-with-comments text."""
+    """Parse and check JSON-with-comments text; see :func:`load_settings`."""
     try:
         raw = json5.loads(text, allow_duplicate_keys=False)
     except ValueError as exc:
@@ -137,7 +137,7 @@
 
 
 def _field_faults(kind: t.Any, raw: t.Any, place: str) -> list[SettingsFault]:
-    """Collect the faults of each field, since the library stops at the first."""
+    """Return the faults of all fields; the library itself stops at the first."""
     if not isinstance(raw, dict):
         return [SettingsFault(place, f"expected an object, got {type(raw).__name__}")]
     faults = []
@@ -162,7 +162,7 @@
 
 
 def _is_struct(kind: t.Any) -> bool:
-    # A generic alias such as tuple[str, ...] passes for a type, but not for issubclass.
+    # isinstance(tuple[str, ...], type) is true, but issubclass raises TypeError for it.
     plain = isinstance(kind, type) and not isinstance(kind, types.GenericAlias)
     return plain and issubclass(kind, msgspec.Struct)
 
@@ -175,7 +175,9 @@
         faults.append(SettingsFault("$.address", f"{settings.address!r} is not an IP address"))
     else:
         if address.is_unspecified or address.is_multicast:
-            faults.append(SettingsFault("$.address", "must be one that other nodes can reach"))
+            faults.append(
+                SettingsFault("$.address", f"must be one that other nodes can reach, got {address}")
+            )
     ports_by_name = {
         name: getattr(settings, name)
         for name in ("caller_port", "peer_port", "target_port", "operator_port")
@@ -189,7 +191,7 @@
         if endpoint is None:
             faults.append(SettingsFault(f"$.seeds[{i}]", f"{seed!r} is not IP:PORT"))
         elif endpoint == (settings.address, settings.peer_port):
-            faults.append(SettingsFault(f"$.seeds[{i}]", "is this node's own address"))
+            faults.append(SettingsFault(f"$.seeds[{i}]", f"is this node's own address {seed}"))
     if len(set(settings.seeds)) != len(settings.seeds):
         faults.append(SettingsFault("$.seeds", "duplicate address"))
     if not settings.platform.url.startswith(("http://", "https://")):
@@ -208,20 +210,25 @@
 
 
 def _duration_faults(gossip: GossipSettings) -> list[SettingsFault]:
-    """A suspected member needs the time of a probe to be heard, or every lost packet kills it."""
+    """Check that a suspected member has time to refute.
+
+    If ``suspicion_s`` does not exceed the duration of a probe, a single lost packet can make a
+    live member count as dead.
+    """
     least_s = gossip.period_s + gossip.ack_timeout_s
     if gossip.suspicion_s > least_s:
         return []
     return [
         SettingsFault(
             "$.gossip.suspicion_s",
-            f"must be more than period_s and ack_timeout_s together, which is {least_s:g} s",
+            f"must be more than period_s and ack_timeout_s together, which is {least_s:g} s, "
+            f"got {gossip.suspicion_s:g} s",
         )
     ]
 
 
 def parse_endpoint(text: str) -> tuple[str, int] | None:
-    """Split ``IP:PORT``; ``None`` when it is neither."""
+    """Return the address and port of ``IP:PORT``, or ``None`` if ``text`` is not of this form."""
     host, separator, port = text.rpartition(":")
     if not separator or not port.isdigit() or not 0 < int(port) < 65536:
         return None
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""Tests that the operators' reference pages agree with the code."""
+"""Tests that the generated tables of the operators' pages are up to date."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class ReferenceTests(unittest.TestCase):
-    def test_each_page_holds_what_the_code_defines(self) -> None:
+    def test_each_page_has_the_table_generated_from_the_code(self) -> None:
         for name, table in TABLES_BY_PAGE.items():
             with self.subTest(name):
                 page = (PAGES / name).read_text(encoding="utf-8")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the checked settings."""
+"""Tests of parsing and checking settings."""
 
 import unittest
 
@@ -14,12 +14,12 @@
 
 
 class ParseSettingsTests(unittest.TestCase):
-    def test_comments_and_defaults_are_taken(self) -> None:
+    def test_comments_are_accepted_and_defaults_applied(self) -> None:
         settings = parse_settings(GOOD).unwrap()
         self.assertEqual(settings.node_id, "celje-a-1")
         self.assertEqual(settings.gossip.period_s, 0.5)
 
-    def test_each_fault_is_named_with_its_place(self) -> None:
+    def test_each_fault_is_reported_with_its_place(self) -> None:
         cases = {
             "$.surplus: unknown key": GOOD.replace("// A node", '"surplus": 1, // A node'),
             "$.caller_port: Expected": GOOD.replace('"caller_port": 1', '"caller_port": "x"'),
@@ -55,6 +55,6 @@
         text = GOOD.replace('"caller_port": 1', '"caller_port": -1').replace('"url"', '"uri"')
         self.assertEqual(len(parse_settings(text).unwrap_err()), 3)
 
-    def test_overrides_replace_values(self) -> None:
+    def test_overrides_replace_values_of_the_file(self) -> None:
         settings = parse_settings(GOOD, {"node_id": "other", "address": None}).unwrap()
         self.assertEqual((settings.node_id, settings.address), ("other", "127.0.0.1"))
