--- a/src/bulrushflow/application.py
+++ b/src/bulrushflow/application.py
@@ -1,4 +1,4 @@
-"""The node: one object that owns every part, and their start and stop."""
+"""The node: constructs, starts and stops the components of one process."""
 
 import asyncio
 import gc
@@ -52,17 +52,23 @@
     "address": "BULRUSHFLOW_ADDRESS",
     "data_centre": "BULRUSHFLOW_DATA_CENTRE",
 }
-"""Environment variables that replace settings, by the setting's key."""
+"""Environment variables that override settings, by the setting's key."""
 CONNECTION_GRACE_S = 0.2
 GC_THRESHOLD = 5_000
-"""Objects made and kept between two collections of the youngest generation."""
+"""Net number of new objects that starts a collection of the youngest generation."""
 GC_GENERATIONS = 10
 LEAVE_DISSEMINATION_S = 1.0
-"""Time between telling the others that this node leaves and refusing callers."""
+"""Seconds between announcing that this node leaves and refusing callers.
+
+In this time the announcement reaches the other nodes, which then send no more calls here.
+"""
 
 
 class Node(Service):
-    """One node: construct with checked settings, start, stop."""
+    """One node.
+
+    :param settings: checked settings.
+    """
 
     def __init__(self, settings: Settings) -> None:
         super().__init__()
@@ -110,7 +116,7 @@
         )
 
     async def on_stop(self) -> None:
-        """Leave gracefully: tell the others, finish what is in flight, then close."""
+        """Announce the leave, finish calls in flight, then close all components."""
         drain_s = self.settings.calls.drain_s
         await self.gossip.leave()
         await asyncio.sleep(LEAVE_DISSEMINATION_S)
@@ -120,7 +126,7 @@
             await self.links.drain(drain_s),
         ]
         if not all(drained):
-            logger.error("calls were still in flight after {} s", drain_s)
+            logger.error("calls were still in flight after the drain period of {} s", drain_s)
         await asyncio.sleep(CONNECTION_GRACE_S)
         for runner in reversed(self._runners):
             await runner.cleanup()
@@ -133,11 +139,11 @@
         await self.platform_log.close()
 
     def is_ready(self) -> bool:
-        """Tell whether this node holds a current configuration and may take calls."""
+        """Return whether this node has a current configuration and accepts calls."""
         return self.dissemination.caught_up
 
     def _create_components(self) -> None:
-        """Construct the parts that need the peer port or the running loop."""
+        """Construct the components that need the peer port or the running event loop."""
         settings = self.settings
         own_member = Member(
             settings.node_id,
@@ -236,7 +242,7 @@
         )
 
     def _fail(self, error: InvariantError) -> None:
-        logger.critical("the node stops: {}", error)
+        logger.critical("stopping the node, an invariant is broken: {}", error)
         self.failure = error
         self.stopping.set()
 
@@ -260,7 +266,7 @@
 
 
 async def run_until_signal(node: Node) -> None:
-    """Start a node, wait for SIGTERM, SIGINT or a broken invariant, and stop it."""
+    """Start a node, and stop it upon SIGTERM, SIGINT or a broken invariant."""
     stopping = node.stopping
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -272,7 +278,8 @@
 
 
 def _limit_garbage_collection() -> None:
-    # A full collection over the libraries' objects holds every call for milliseconds.
+    # A full collection that traverses the libraries' objects delays every call by milliseconds, so
+    # these objects are excluded and full collections are made rare.
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD, GC_GENERATIONS, GC_GENERATIONS)
@@ -281,10 +288,10 @@
 def run_node(
     path: pathlib.Path, overrides: t.Mapping[str, str | None], check_only: bool = False
 ) -> int:
-    """Run a node until it is told to stop, and return the exit status.
+    """Run a node until a signal or a broken invariant stops it, and return the exit status.
 
-    :param overrides: values that replace those of the environment and of the file.
-    :param check_only: check the settings and start nothing.
+    :param overrides: values that override the environment and the file, by the setting's key.
+    :param check_only: check the settings without starting the node.
     """
     values = {key: os.environ.get(name) for key, name in NODE_VARIABLES.items()}
     values.update({key: value for key, value in overrides.items() if value is not None})
@@ -315,7 +322,7 @@
     """Run the ``bulrushflow-node`` program."""
     arguments = sys.argv[1:]
     if len(arguments) == 1 and not arguments[0].startswith("-"):
-        # A lone settings file needs no parser, whose library would stay in memory.
+        # A single file needs no argument parser, whose library would stay in memory.
         sys.exit(run_node(pathlib.Path(arguments[0]), {}))
     from bulrushflow.node_command import run_command
 
--- a/src/bulrushflow/background.py
+++ b/src/bulrushflow/background.py
@@ -1,4 +1,4 @@
-"""Services that do one thing as long as they run."""
+"""A base class for services with a background task."""
 
 import asyncio
 import contextlib
@@ -23,5 +23,5 @@
                 await self._task
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Do the service's work until cancelled."""
         raise NotImplementedError
--- a/src/bulrushflow/bodies.py
+++ b/src/bulrushflow/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests, read whole or refused, within the node's budget of bytes."""
+"""Reading of callers' request bodies, with a bound on their size."""
 
 from aiohttp import web
 from aiohttp.http_exceptions import HttpProcessingError
@@ -10,7 +10,7 @@
 
 
 def expected_bytes(request: web.BaseRequest, max_bytes: int) -> int:
-    """Return the bytes to reserve for a request's body: its length, or the bound if unknown."""
+    """Return the bytes to reserve for a request's body: its length, or ``max_bytes`` if unknown."""
     if not request.body_exists:
         return 0
     length = request.content_length
@@ -18,7 +18,10 @@
 
 
 async def read_body(request: web.BaseRequest, max_bytes: int) -> Result[bytes, str]:
-    """Read a request's whole body, at most ``max_bytes``."""
+    """Read a request's whole body.
+
+    The error says that it is longer than ``max_bytes`` or malformed.
+    """
     if not request.body_exists:
         return Ok(b"")
     if request.headers.get("expect", "").lower() == "100-continue":
@@ -29,7 +32,7 @@
         async for chunk in request.content.iter_any():
             chunks += chunk
             if len(chunks) > max_bytes:
-                return Err("the body is too large")
+                return Err(f"the body is too large: at most {max_bytes} bytes are accepted")
     except HttpProcessingError:
-        return Err("the body can't be read")
+        return Err("the body can't be read: its HTTP encoding is malformed")
     return Ok(bytes(chunks))
--- a/src/bulrushflow/exceptions.py
+++ b/src/bulrushflow/exceptions.py
@@ -1,4 +1,4 @@
-"""Exceptions for broken invariants; expected failures are :mod:`result` values instead."""
+"""Exceptions for broken invariants; expected failures are returned as :mod:`result` values."""
 
 
 class BulrushflowError(Exception):
@@ -6,4 +6,4 @@
 
 
 class InvariantError(BulrushflowError):
-    """A state that the design rules out; the process must not go on."""
+    """A state that should be impossible; the process must stop."""
--- a/src/bulrushflow/headers.py
+++ b/src/bulrushflow/headers.py
@@ -1,4 +1,4 @@
-"""HTTP headers that concern one connection only; names are in lower case."""
+"""HTTP headers that apply to a single connection and are not forwarded; lower-case names."""
 
 CONNECTION_HEADERS = frozenset(
     {
--- a/src/bulrushflow/logs.py
+++ b/src/bulrushflow/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs, as text or JSON lines, on standard error or bounded on standard output."""
+"""Structured logs: text or JSON lines on standard error, or non-blocking on standard output."""
 
 import os
 import sys
@@ -15,7 +15,7 @@
 LogFormat = t.Literal["text", "json"]
 
 MAX_BUFFERED_BYTES = 256 << 10
-"""Lines that wait for a slow reader; what is beyond is dropped."""
+"""Bound on the lines buffered for a slow reader; further lines are dropped."""
 _PROCESS = "process"
 _TEXT_FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level: <7} {extra[process]} {name}: {message}"
 
@@ -34,7 +34,7 @@
 
 
 def _text_format(record: "Record") -> str:
-    """Return the template of one line, with the bound fields after the message."""
+    """Return the format of one line: the message, then the fields bound to the logger."""
     fields = "".join(f" {name}={{extra[{name}]}}" for name in _field_names(record))
     return f"{_TEXT_FORMAT}{fields}\n{{exception}}"
 
@@ -62,7 +62,11 @@
 
 
 class BoundedWriter:
-    """Writes lines without waiting; what the descriptor does not take is dropped and counted."""
+    """Writes lines to a non-blocking descriptor.
+
+    Lines are buffered while the reader is slow. Beyond the bound they are dropped and counted,
+    and the next line is preceded by the count.
+    """
 
     __slots__ = ("_buffered", "_buffered_bytes", "_descriptor", "_dropped_lines")
 
@@ -73,7 +77,7 @@
         self._dropped_lines = 0
 
     def write(self, line: bytes) -> None:
-        """Queue a line and write what the descriptor takes now."""
+        """Buffer a line, and write as much as the descriptor accepts without blocking."""
         if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self._flush()
         if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
@@ -93,7 +97,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads the logs any more; the process goes on without them.
+            # The reader is gone, so buffered lines are discarded; the process goes on without logs.
             written = len(data)
         rest = data[written:]
         self._buffered = [rest] if rest else []
@@ -101,7 +105,7 @@
 
 
 def configure_bounded_logs(process: str, level: str = "INFO") -> None:
-    """Send this process's logs to standard output as JSON lines, and never wait for a reader.
+    """Send this process's logs to standard output as JSON lines, without ever blocking.
 
     :param process: name shown in every line, such as the node's id.
     """
--- a/src/bulrushflow/metrics.py
+++ b/src/bulrushflow/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms, with a bound on the number of tenant labels."""
+"""The node's Prometheus metrics, with a bound on the number of tenant labels."""
 
 import typing as t
 
@@ -14,7 +14,7 @@
 
 
 class TenantLabels:
-    """Maps tenants to label values; those beyond the bound share one value."""
+    """Maps tenants to label values; tenants beyond the limit share :data:`OTHER_TENANT`."""
 
     __slots__ = ("_limit", "_seen")
 
@@ -33,7 +33,10 @@
 
 
 class Metrics:
-    """The node's metrics, in a registry of their own."""
+    """The node's metrics in a separate registry.
+
+    :param max_tenant_labels: tenants with a label value of their own.
+    """
 
     __slots__ = (
         "_histogram_by_labels",
@@ -89,35 +92,35 @@
         )
 
     def observe_call(self, tenant: str, service: str, outcome: str, seconds: float) -> None:
-        """Count one finished call."""
+        """Record a finished call's outcome and its duration in seconds."""
         label = self._tenants.label(tenant)
         self.calls.inc({"tenant": label, "service": service, "outcome": outcome})
         histogram = self._histogram_by_labels.get((label, service))
         if histogram is not None:
             histogram.observe(seconds)
             return
-        # The library encodes the labels on each call; the histogram itself is found once.
+        # The library encodes the labels at each observation, so the histogram is looked up once.
         labels = {"tenant": label, "service": service}
         self.call_seconds.observe(labels, seconds)
         self._histogram_by_labels[label, service] = self.call_seconds.get_value(labels)
 
     def observe_admission(self, queued: int, active: int, lingering: int, capacity: int) -> None:
-        """Take in the state of the own target's slots, in calls."""
+        """Record the numbers of calls at this node's target, and its slots."""
         self.admission.set({"state": "queued"}, queued)
         self.admission.set({"state": "active"}, active)
         self.admission.set({"state": "lingering"}, lingering)
         self.admission.set({"state": "capacity"}, capacity)
 
     def count_control_bytes(self, direction: str, kind: str, count: int) -> None:
-        """Count control bytes.
+        """Count bytes of control messages.
 
         :param direction: ``sent`` or ``received``.
-        :param kind: what the message was for, such as ``probe``.
+        :param kind: the message's purpose, such as ``probe``.
         """
         self.control_bytes.add({"direction": direction, "kind": kind}, count)
 
     async def serve(self, request: web.Request) -> web.Response:
-        """Answer with the metrics in Prometheus's text format."""
+        """Respond with the metrics in Prometheus's text format."""
         body, headers = render(self.registry, request.headers.getall("accept", []))
         return web.Response(body=body, headers=headers)
 
--- a/src/bulrushflow/node_command.py
+++ b/src/bulrushflow/node_command.py
@@ -1,4 +1,4 @@
-"""The options of ``bulrushflow-node``; loaded only when there are some to parse."""
+"""The options of ``bulrushflow-node``; imported only if there are options to parse."""
 
 import pathlib
 import typing as t
@@ -15,9 +15,9 @@
 class NodeCommand:
     """Run one node beside one target.
 
-    Settings come from a JSON-with-comments file; flags and environment variables replace the
-    file's values. Exit status: 0 after a graceful stop, 2 for faulty settings, 3 for a broken
-    invariant.
+    Settings are read from a JSON-with-comments file; flags and environment variables override
+    the file's values. Exit status: 0 after a graceful stop, 2 for invalid settings, 3 for a
+    broken invariant.
     """
 
     settings: t.Annotated[pathlib.Path, cappa.Arg(help="settings file")]
@@ -31,7 +31,7 @@
         str | None, cappa.Arg(long=True, help=f"data centre; or {NODE_VARIABLES['data_centre']}")
     ] = None
     check_settings: t.Annotated[
-        bool, cappa.Arg(long=True, help="check the settings and start nothing")
+        bool, cappa.Arg(long=True, help="check the settings without starting the node")
     ] = False
 
     def __call__(self) -> None:
@@ -44,5 +44,5 @@
 
 
 def run_command() -> None:
-    """Parse the options and run the node."""
+    """Parse the command line and run the node."""
     cappa.invoke(NodeCommand)
--- a/src/bulrushflow/timers.py
+++ b/src/bulrushflow/timers.py
@@ -1,4 +1,4 @@
-"""The timer service: one place where parts subscribe to periodic work."""
+"""Clocks, periodic callbacks, and detection of pauses of the process."""
 
 import asyncio
 import contextlib
@@ -11,7 +11,7 @@
 
 HEARTBEAT_S = 0.2
 PAUSE_THRESHOLD_S = 0.5
-"""A heartbeat later than this counts as a stall of the process."""
+"""Seconds between two heartbeats from which on the process counts as paused."""
 
 Callback = t.Callable[[], t.Awaitable[None]]
 PauseCallback = t.Callable[[float], None]
@@ -19,13 +19,13 @@
 
 
 class Clock(t.Protocol):
-    """Time as an argument, so that decisions can be tested without waiting."""
+    """A source of time that tests can replace."""
 
     def monotonic(self) -> float:
-        """Seconds on a clock that never goes back."""
+        """Return the seconds of a clock that never goes back."""
 
     def wall_ms(self) -> int:
-        """Milliseconds since the epoch, as operators and the log state times."""
+        """Return milliseconds since the epoch, the unit of times in the log and for operators."""
 
 
 class SystemClock:
@@ -43,7 +43,7 @@
 
 
 class Subscription:
-    """A periodic callback; :meth:`cancel` ends it."""
+    """A subscription to a periodic callback."""
 
     __slots__ = ("_task",)
 
@@ -51,17 +51,17 @@
         self._task = task
 
     def cancel(self) -> None:
-        """End the callback; one that is running is cancelled."""
+        """End the subscription; a callback that is running is cancelled."""
         self._task.cancel()
 
 
 class Timers(Service):
-    """Runs subscribed callbacks, each on its own period with random spread.
+    """Runs subscribed callbacks, each at its own period with random jitter.
 
-    The spread keeps nodes that start together from acting together. A heartbeat notices when
-    the process stood still, such as after SIGSTOP or while its machine was frozen.
+    The jitter keeps nodes that start together from acting in step. A heartbeat detects pauses
+    of the process, such as by SIGSTOP or by its machine being frozen.
 
-    :param monotonic: seconds on a clock that goes on while the process is paused.
+    :param monotonic: returns the seconds of a clock that runs on while the process is paused.
     """
 
     def __init__(self, rng: random.Random, monotonic: Monotonic = time.monotonic) -> None:
@@ -78,7 +78,7 @@
     ) -> Subscription:
         """Call ``callback`` about every ``period_s`` seconds.
 
-        :param jitter: part of the period by which each wait varies at random.
+        :param jitter: largest random deviation of a wait, as a fraction of the period.
         """
         task = asyncio.get_running_loop().create_task(
             self._repeat(name, period_s, callback, jitter), name=f"timer:{name}"
@@ -88,30 +88,30 @@
         return Subscription(task)
 
     def now(self) -> float:
-        """Seconds on the clock that stalls are measured with."""
+        """Return the seconds of the clock that pauses are measured with."""
         return self._monotonic()
 
     def subscribe_pause(self, callback: PauseCallback) -> None:
-        """Call back with the seconds for which the process stood still, once it runs again."""
+        """Call ``callback`` after each pause of the process, with the length in seconds."""
         self._pause_callbacks.append(callback)
 
     def check_pause(self) -> None:
-        """Look for a stall now instead of with the next heartbeat.
+        """Check for a pause now instead of at the next heartbeat.
 
-        After a pause the loop runs every timer that is due, in no useful order, so a part that
-        is about to judge by elapsed time calls this first.
+        After a pause the event loop runs all timers that are due, in no particular order, so
+        code that is about to decide by elapsed time calls this first.
         """
         now = self._monotonic()
         last_beat_at, self._last_beat_at = self._last_beat_at, now
         if last_beat_at is None or now - last_beat_at < PAUSE_THRESHOLD_S:
             return
         self._pause_ended_at = now
-        logger.warning("the process stood still for {:.1f} s", now - last_beat_at)
+        logger.warning("the process was paused for {:.1f} s", now - last_beat_at)
         for callback in self._pause_callbacks:
             callback(now - last_beat_at)
 
     def paused_since(self, instant: float) -> bool:
-        """Tell whether the process stood still after ``instant``, in seconds of the clock."""
+        """Return whether a pause ended at or after ``instant``, in seconds of :meth:`now`."""
         self.check_pause()
         return self._pause_ended_at >= instant
 
@@ -136,5 +136,5 @@
             try:
                 await callback()
             except Exception:
-                # One failing subscriber must not silence the others' timers.
-                logger.exception("timer {} failed", name)
+                # The timer goes on after a failure of its callback.
+                logger.exception("the callback of timer {} failed", name)
--- a/src/bulrushflow_sidecar.py
+++ b/src/bulrushflow_sidecar.py
@@ -1,4 +1,4 @@
-"""Starts the sidecar from a checkout whose dependencies are on Python's path."""
+"""Starts the sidecar from a source checkout; its dependencies must be on Python's path."""
 
 from bulrushflow.platform.command import main
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,6 +1,6 @@
-"""The test suite; ``python -m tests`` runs it.
+"""The test suite; run it with ``python -m tests``.
 
-Hypothesis draws the same examples each time, whichever way tests are run.
+Hypothesis generates the same examples in each run, also under other test runners.
 """
 
 from hypothesis import settings
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every test, passes over just the known failures, and prints the count last."""
+"""Runs all tests except the known failures, and prints the counts last."""
 
 import pathlib
 import sys
@@ -18,7 +18,7 @@
 
 
 def flatten(suite: unittest.TestSuite) -> t.Iterator[unittest.TestCase]:
-    """Yield the single tests of a suite."""
+    """Yield the test cases of a suite and its nested suites."""
     for test in suite:
         if isinstance(test, unittest.TestSuite):
             yield from flatten(test)
--- a/tests/test_application.py
+++ b/tests/test_application.py
@@ -1,4 +1,4 @@
-"""Tests of the node as a whole."""
+"""Tests of the node's life cycle."""
 
 import unittest
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the logs' two shapes."""
+"""Tests of the two log formats."""
 
 import contextlib
 import io
@@ -28,7 +28,7 @@
                 logger.exception("caught")
         return errors.getvalue().splitlines()
 
-    def test_json_lines_are_flat_and_name_the_process(self) -> None:
+    def test_json_lines_are_flat_objects_with_the_process(self) -> None:
         first, second = (msgspec.json.decode(line) for line in self.lines("json"))
         self.assertEqual(first["message"], "version 3 <b>{}</b>")
         self.assertEqual(
@@ -36,7 +36,7 @@
         )
         self.assertIn("ValueError: broken", second["exception"])
 
-    def test_text_has_one_line_a_message_and_the_fields(self) -> None:
+    def test_text_lines_have_the_message_and_the_bound_fields(self) -> None:
         lines = self.lines("text")
         self.assertIn("celje-a-1 tests.test_logs: version 3 <b>{}</b> offset=7", lines[0])
         self.assertIn("caught", lines[1])
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""Tests of the timer service."""
+"""Tests of periodic callbacks and of the detection of pauses."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told."""
+    """A clock that advances only when the test sets it."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -30,26 +30,26 @@
         await self.timers.start()
         self.addAsyncCleanup(self.timers.stop)
 
-    async def test_an_ordinary_heartbeat_is_no_stall(self) -> None:
+    async def test_a_regular_heartbeat_is_not_a_pause(self) -> None:
         self.clock.now += HEARTBEAT_S
         self.timers.check_pause()
         self.assertEqual(self.pauses, [])
         self.assertFalse(self.timers.paused_since(100.0))
 
-    async def test_a_pause_is_reported_once_with_its_seconds(self) -> None:
+    async def test_a_pause_is_reported_once_with_its_length(self) -> None:
         self.clock.now += 5.0
         self.timers.check_pause()
         self.timers.check_pause()
         self.assertEqual(self.pauses, [5.0])
 
-    async def test_a_round_that_spans_a_pause_is_told_from_a_later_one(self) -> None:
+    async def test_paused_since_is_true_only_for_instants_before_the_end_of_a_pause(self) -> None:
         began = self.clock.now
         self.clock.now += 2 * PAUSE_THRESHOLD_S
         self.assertTrue(self.timers.paused_since(began))
         self.clock.now += 0.1
         self.assertFalse(self.timers.paused_since(self.clock.now))
 
-    async def test_the_heartbeat_finds_a_pause_that_nobody_asks_for(self) -> None:
+    async def test_the_heartbeat_detects_a_pause(self) -> None:
         found = asyncio.Event()
         self.timers.subscribe_pause(lambda _: found.set())
         self.clock.now += 3.0
@@ -57,7 +57,7 @@
             await found.wait()
         self.assertEqual(self.pauses, [3.0])
 
-    async def test_a_failing_callback_keeps_its_timer(self) -> None:
+    async def test_a_timer_goes_on_after_its_callback_fails(self) -> None:
         logger.disable("bulrushflow.timers")
         self.addCleanup(logger.enable, "bulrushflow.timers")
         calls = 0
