--- a/src/bulrushflow/settings.py
+++ b/src/bulrushflow/settings.py
@@ -146,25 +146,25 @@
         if name not in fields_by_name:
             faults.append(SettingsFault(f"{place}.{name}", "unknown key"))
     for name, field in fields_by_name.items():
-        inner = f"{place}.{name}"
+        field_place = f"{place}.{name}"
         if name not in raw:
             if field.required:
-                faults.append(SettingsFault(inner, "missing"))
+                faults.append(SettingsFault(field_place, "missing"))
             continue
         if _is_struct(field.type):
-            faults.extend(_field_faults(field.type, raw[name], inner))
+            faults.extend(_field_faults(field.type, raw[name], field_place))
             continue
         try:
             msgspec.convert(raw[name], field.type)
         except msgspec.ValidationError as exc:
-            faults.append(SettingsFault(inner, str(exc)))
+            faults.append(SettingsFault(field_place, str(exc)))
     return faults
 
 
 def _is_struct(kind: t.Any) -> bool:
     # isinstance(tuple[str, ...], type) is true, but issubclass raises TypeError for it.
-    plain = isinstance(kind, type) and not isinstance(kind, types.GenericAlias)
-    return plain and issubclass(kind, msgspec.Struct)
+    is_class = isinstance(kind, type) and not isinstance(kind, types.GenericAlias)
+    return is_class and issubclass(kind, msgspec.Struct)
 
 
 def _address_faults(settings: Settings) -> list[SettingsFault]:
@@ -215,13 +215,13 @@
     If ``suspicion_s`` does not exceed the duration of a probe, a single lost packet can make a
     live member count as dead.
     """
-    least_s = gossip.period_s + gossip.ack_timeout_s
-    if gossip.suspicion_s > least_s:
+    probe_s = gossip.period_s + gossip.ack_timeout_s
+    if gossip.suspicion_s > probe_s:
         return []
     return [
         SettingsFault(
             "$.gossip.suspicion_s",
-            f"must be more than period_s and ack_timeout_s together, which is {least_s:g} s, "
+            f"must be more than period_s and ack_timeout_s together, which is {probe_s:g} s, "
             f"got {gossip.suspicion_s:g} s",
         )
     ]
--- a/src/bulrushflow/wire/links.py
+++ b/src/bulrushflow/wire/links.py
@@ -86,9 +86,9 @@
         for link in self._all_links():
             link.send_goodbye()
         loop = asyncio.get_running_loop()
-        ends_at = loop.time() + timeout_s
+        deadline = loop.time() + timeout_s
         while any(link.busy for link in self._accepted):
-            if loop.time() >= ends_at:
+            if loop.time() >= deadline:
                 return False
             await asyncio.sleep(DRAIN_POLL_S)
         return True
--- a/src/bulrushflow/wire/messages.thrift
+++ b/src/bulrushflow/wire/messages.thrift
@@ -111,7 +111,7 @@
   50: optional i32 capacity
   // Offset up to which the sender has read the operator's records.
   61: optional i64 read_offset
-  // Whether the call reached the target, which refused it.
+  // True if the call reached the target, which refused it.
   62: optional bool arrived
 }
 
@@ -140,8 +140,8 @@
   22: optional bool busy
   // Whether the responding node's last read of the log succeeded.
   23: optional bool reads_log
-  // Whether the responding node, or one that it pulled from, has been known since its start to
-  // have the highest version.
+  // Whether the responding node, or one that reported to it, has known the highest version at
+  // any time since its start.
   24: optional bool was_fresh
 }
 
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -10,7 +10,7 @@
 
 
 def known_red_ids() -> set[str]:
-    """Return the ids of the tests listed in ``KNOWN-RED.txt``, one entry a line."""
+    """Return the ids of the tests listed in ``KNOWN-RED.txt``, one entry per line."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
