--- a/benchmarks/mechanisms.py
+++ b/benchmarks/mechanisms.py
@@ -228,17 +228,17 @@
     Mechanism(
         "a stopping node waits for its callers",
         (
-            Edit("application.py", "await self.callers.drain(drain_s),", "True,"),
+            Edit("application.py", "await self.caller_server.drain(drain_s),", "True,"),
             Edit("application.py", "await self.admission_controller.drain(drain_s),", "True,"),
             Edit("application.py", "await self.links.drain(drain_s),", "True,"),
             Edit("application.py", "await self.gossip.leave()", "pass"),
-            Edit("application.py", "await asyncio.sleep(LEAVE_SPREAD_S)", "pass"),
+            Edit("application.py", "await asyncio.sleep(LEAVE_DISSEMINATION_S)", "pass"),
         ),
         ("tests.processes.test_graceful_stops",),
     ),
     Mechanism(
         "a silent connection is given up",
-        (Edit("wire/link.py", "if now - self._pinged_at >= PONG_S:", "if False:"),),
+        (Edit("wire/link.py", "if now - self._ping_sent_at >= PONG_TIMEOUT_S:", "if False:"),),
         ("tests.wire.test_link",),
     ),
     Mechanism(
--- a/src/bulrushflow/logs.py
+++ b/src/bulrushflow/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs, as text or JSON lines, on standard error or bounded on standard output."""
+"""Structured logs: text or JSON lines on standard error, or non-blocking on standard output."""
 
 import os
 import sys
@@ -14,8 +14,8 @@
 
 LogFormat = t.Literal["text", "json"]
 
-MAX_WAITING_BYTES = 256 << 10
-"""Lines that wait for a slow reader; what is beyond is dropped."""
+MAX_BUFFERED_BYTES = 256 << 10
+"""Bound on the lines buffered for a slow reader; further lines are dropped."""
 _PROCESS = "process"
 _TEXT_FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level: <7} {extra[process]} {name}: {message}"
 
@@ -34,7 +34,7 @@
 
 
 def _text_format(record: "Record") -> str:
-    """Return the template of one line, with the bound fields after the message."""
+    """Return the format of one line: the message, then the fields bound to the logger."""
     fields = "".join(f" {name}={{extra[{name}]}}" for name in _field_names(record))
     return f"{_TEXT_FORMAT}{fields}\n{{exception}}"
 
@@ -62,46 +62,50 @@
 
 
 class BoundedWriter:
-    """Writes lines without waiting; what the descriptor does not take is dropped and counted."""
+    """Writes lines to a non-blocking descriptor.
 
-    __slots__ = ("_descriptor", "_dropped", "_waiting", "_waiting_bytes")
+    Lines are buffered while the reader is slow. Beyond the bound they are dropped and counted,
+    and the next line is preceded by the count.
+    """
+
+    __slots__ = ("_buffered", "_buffered_bytes", "_descriptor", "_dropped_lines")
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._waiting: list[bytes] = []
-        self._waiting_bytes = 0
-        self._dropped = 0
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
+        self._dropped_lines = 0
 
     def write(self, line: bytes) -> None:
-        """Queue a line and write what the descriptor takes now."""
-        if self._waiting_bytes + len(line) > MAX_WAITING_BYTES:
+        """Buffer a line, and write as much as the descriptor accepts without blocking."""
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self._flush()
-        if self._waiting_bytes + len(line) > MAX_WAITING_BYTES:
-            self._dropped += 1
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
+            self._dropped_lines += 1
             return
-        if self._dropped:
-            note = msgspec.json.encode({"message": "lines dropped", "count": self._dropped})
-            self._waiting.append(note + b"\n")
-            self._dropped = 0
-        self._waiting.append(line)
+        if self._dropped_lines:
+            note = msgspec.json.encode({"message": "lines dropped", "count": self._dropped_lines})
+            self._buffered.append(note + b"\n")
+            self._dropped_lines = 0
+        self._buffered.append(line)
         self._flush()
 
     def _flush(self) -> None:
-        data = b"".join(self._waiting)
+        data = b"".join(self._buffered)
         try:
             written = os.write(self._descriptor, data)
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads the logs any more; the process goes on without them.
+            # The reader is gone, so buffered lines are discarded; the process goes on without logs.
             written = len(data)
         rest = data[written:]
-        self._waiting = [rest] if rest else []
-        self._waiting_bytes = len(rest)
+        self._buffered = [rest] if rest else []
+        self._buffered_bytes = len(rest)
 
 
 def configure_bounded_logs(process: str, level: str = "INFO") -> None:
-    """Send this process's logs to standard output as JSON lines, and never wait for a reader.
+    """Send this process's logs to standard output as JSON lines, without ever blocking.
 
     :param process: name shown in every line, such as the node's id.
     """
--- a/src/bulrushflow/timers.py
+++ b/src/bulrushflow/timers.py
@@ -1,4 +1,4 @@
-"""The timer service: one place where parts subscribe to periodic work."""
+"""Clocks, periodic callbacks, and detection of pauses of the process."""
 
 import asyncio
 import contextlib
@@ -10,22 +10,22 @@
 from mode import Service
 
 HEARTBEAT_S = 0.2
-STALL_S = 0.5
-"""A heartbeat later than this counts as a stall of the process."""
+PAUSE_THRESHOLD_S = 0.5
+"""Seconds between two heartbeats from which on the process counts as paused."""
 
 Callback = t.Callable[[], t.Awaitable[None]]
-StallCallback = t.Callable[[float], None]
+PauseCallback = t.Callable[[float], None]
 Monotonic = t.Callable[[], float]
 
 
 class Clock(t.Protocol):
-    """Time as an argument, so that decisions can be tested without waiting."""
+    """A source of time that tests can replace."""
 
     def monotonic(self) -> float:
-        """Seconds on a clock that never goes back."""
+        """Return the seconds of a clock that never goes back."""
 
     def wall_ms(self) -> int:
-        """Milliseconds since the epoch, as operators and the log state times."""
+        """Return milliseconds since the epoch, the unit of times in the log and for operators."""
 
 
 class SystemClock:
@@ -43,7 +43,7 @@
 
 
 class Subscription:
-    """A periodic callback; :meth:`cancel` ends it."""
+    """A subscription to a periodic callback."""
 
     __slots__ = ("_task",)
 
@@ -51,17 +51,17 @@
         self._task = task
 
     def cancel(self) -> None:
-        """End the callback; one that is running is cancelled."""
+        """End the subscription; a callback that is running is cancelled."""
         self._task.cancel()
 
 
 class Timers(Service):
-    """Runs subscribed callbacks, each on its own period with random spread.
+    """Runs subscribed callbacks, each at its own period with random jitter.
 
-    The spread keeps nodes that start together from acting together. A heartbeat notices when
-    the process stood still, such as after SIGSTOP or while its machine was frozen.
+    The jitter keeps nodes that start together from acting in step. A heartbeat detects pauses
+    of the process, such as by SIGSTOP or by its machine being frozen.
 
-    :param monotonic: seconds on a clock that goes on while the process is paused.
+    :param monotonic: returns the seconds of a clock that runs on while the process is paused.
     """
 
     def __init__(self, rng: random.Random, monotonic: Monotonic = time.monotonic) -> None:
@@ -69,55 +69,55 @@
         self._rng = rng
         self._monotonic = monotonic
         self._tasks: set[asyncio.Task[None]] = set()
-        self._on_stall: list[StallCallback] = []
-        self._beat_at: float | None = None
-        self._stall_ended_at = float("-inf")
+        self._pause_callbacks: list[PauseCallback] = []
+        self._last_beat_at: float | None = None
+        self._pause_ended_at = float("-inf")
 
     def subscribe(
-        self, name: str, period_s: float, callback: Callback, spread: float = 0.1
+        self, name: str, period_s: float, callback: Callback, jitter: float = 0.1
     ) -> Subscription:
         """Call ``callback`` about every ``period_s`` seconds.
 
-        :param spread: part of the period by which each wait varies at random.
+        :param jitter: largest random deviation of a wait, as a fraction of the period.
         """
         task = asyncio.get_running_loop().create_task(
-            self._repeat(name, period_s, callback, spread), name=f"timer:{name}"
+            self._repeat(name, period_s, callback, jitter), name=f"timer:{name}"
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return Subscription(task)
 
     def now(self) -> float:
-        """Seconds on the clock that stalls are measured with."""
+        """Return the seconds of the clock that pauses are measured with."""
         return self._monotonic()
 
-    def subscribe_pause(self, callback: StallCallback) -> None:
-        """Call back with the seconds for which the process stood still, once it runs again."""
-        self._on_stall.append(callback)
+    def subscribe_pause(self, callback: PauseCallback) -> None:
+        """Call ``callback`` after each pause of the process, with the length in seconds."""
+        self._pause_callbacks.append(callback)
 
     def check_pause(self) -> None:
-        """Look for a stall now instead of with the next heartbeat.
+        """Check for a pause now instead of at the next heartbeat.
 
-        After a pause the loop runs every timer that is due, in no useful order, so a part that
-        is about to judge by elapsed time calls this first.
+        After a pause the event loop runs all timers that are due, in no particular order, so
+        code that is about to decide by elapsed time calls this first.
         """
         now = self._monotonic()
-        beat_at, self._beat_at = self._beat_at, now
-        if beat_at is None or now - beat_at < STALL_S:
+        last_beat_at, self._last_beat_at = self._last_beat_at, now
+        if last_beat_at is None or now - last_beat_at < PAUSE_THRESHOLD_S:
             return
-        self._stall_ended_at = now
-        logger.warning("the process stood still for {:.1f} s", now - beat_at)
-        for callback in self._on_stall:
-            callback(now - beat_at)
+        self._pause_ended_at = now
+        logger.warning("the process was paused for {:.1f} s", now - last_beat_at)
+        for callback in self._pause_callbacks:
+            callback(now - last_beat_at)
 
     def paused_since(self, instant: float) -> bool:
-        """Tell whether the process stood still after ``instant``, in seconds of the clock."""
+        """Return whether a pause ended at or after ``instant``, in seconds of :meth:`now`."""
         self.check_pause()
-        return self._stall_ended_at >= instant
+        return self._pause_ended_at >= instant
 
     async def on_start(self) -> None:
-        self._beat_at = self._monotonic()
-        self.subscribe("heartbeat", HEARTBEAT_S, self._beat, spread=0.0)
+        self._last_beat_at = self._monotonic()
+        self.subscribe("heartbeat", HEARTBEAT_S, self._beat, jitter=0.0)
 
     async def on_stop(self) -> None:
         tasks = list(self._tasks)
@@ -130,11 +130,11 @@
     async def _beat(self) -> None:
         self.check_pause()
 
-    async def _repeat(self, name: str, period_s: float, callback: Callback, spread: float) -> None:
+    async def _repeat(self, name: str, period_s: float, callback: Callback, jitter: float) -> None:
         while True:
-            await asyncio.sleep(period_s * (1 + self._rng.uniform(-spread, spread)))
+            await asyncio.sleep(period_s * (1 + self._rng.uniform(-jitter, jitter)))
             try:
                 await callback()
             except Exception:
-                # One failing subscriber must not silence the others' timers.
-                logger.exception("timer {} failed", name)
+                # The timer goes on after a failure of its callback.
+                logger.exception("the callback of timer {} failed", name)
