--- a/benchmarks/mechanisms.py
+++ b/benchmarks/mechanisms.py
@@ -133,7 +133,7 @@
         (
             Edit(
                 "nodes/rollout_driver.py",
-                "if verdict.outcome is AnalysisOutcome.FAULTY:",
+                "if result.outcome is AnalysisOutcome.FAULTY:",
                 "if False:",
             ),
         ),
@@ -166,7 +166,7 @@
         (
             Edit(
                 "nodes/rollout_driver.py",
-                "self._clock.monotonic() - decided_at < DONE_VALID_S",
+                "self._clock.monotonic() - decided_at < COMPLETION_VALID_S",
                 "True",
             ),
             Edit(
--- a/src/bulrushflow/nodes/evidence_freshness.py
+++ b/src/bulrushflow/nodes/evidence_freshness.py
@@ -6,7 +6,7 @@
 
 MAX_EVIDENCE_AGE_S = 4.0
 """Age up to which a node's last report counts as fresh, on this node's monotonic clock."""
-PAUSE_S = 1.5
+PAUSE_THRESHOLD_S = 1.5
 """Gap between two ticks that shows that this process was paused."""
 SETTLE_S = 0.5
 """Time after a pause in which what arrives may have waited in a queue."""
@@ -15,21 +15,21 @@
 class EvidenceFreshness:
     """Follows which nodes reported lately; what came before a pause of this process is stale."""
 
-    __slots__ = ("_book", "_table", "_ticked_at", "_trusted_after")
+    __slots__ = ("_checked_at", "_evidence_store", "_table", "_trusted_after")
 
-    def __init__(self, book: EvidenceStore, table: MemberTable) -> None:
-        self._book = book
+    def __init__(self, evidence_store: EvidenceStore, table: MemberTable) -> None:
+        self._evidence_store = evidence_store
         self._table = table
-        self._ticked_at: float | None = None
+        self._checked_at: float | None = None
         self._trusted_after = float("-inf")
 
     def detect_pause(self, now_s: float) -> None:
         """Note the time of a tick, to find pauses."""
-        if self._ticked_at is not None and now_s - self._ticked_at > PAUSE_S:
+        if self._checked_at is not None and now_s - self._checked_at > PAUSE_THRESHOLD_S:
             self._trusted_after = now_s + SETTLE_S
-        self._ticked_at = now_s
+        self._checked_at = now_s
 
-    def describe_missing(self, move: Rollout, now_s: float) -> str:
+    def describe_missing(self, rollout: Rollout, now_s: float) -> str:
         """Return whose report is missing for a go-ahead; empty when none is.
 
         Every ready target of the new version and at least half of the old version's must have
@@ -37,19 +37,21 @@
         """
         if now_s <= self._trusted_after:
             return "anyone since this process was paused"
-        for member in self._table.ready_targets(move.service, move.to_version):
-            if not self._is_heard(move, member.node_id, now_s):
+        for member in self._table.ready_targets(rollout.service, rollout.to_version):
+            if not self._has_fresh_report(rollout, member.node_id, now_s):
                 return member.node_id
-        old = self._table.ready_targets(move.service, move.from_version)
-        heard = [m for m in old if self._is_heard(move, m.node_id, now_s)]
-        if 2 * len(heard) < len(old):
-            return f"{len(old) - len(heard)} of {len(old)} nodes of version {move.from_version}"
+        old = self._table.ready_targets(rollout.service, rollout.from_version)
+        reported = [m for m in old if self._has_fresh_report(rollout, m.node_id, now_s)]
+        if 2 * len(reported) < len(old):
+            return (
+                f"{len(old) - len(reported)} of {len(old)} nodes of version {rollout.from_version}"
+            )
         return ""
 
-    def _is_heard(self, move: Rollout, node_id: str, now_s: float) -> bool:
+    def _has_fresh_report(self, rollout: Rollout, node_id: str, now_s: float) -> bool:
         if node_id == self._table.own_id:
             return True
-        heard_at = self._book.last_report_at(move.offset, node_id)
-        if heard_at is None or heard_at <= self._trusted_after:
+        reported_at = self._evidence_store.last_report_at(rollout.offset, node_id)
+        if reported_at is None or reported_at <= self._trusted_after:
             return False
-        return now_s - heard_at <= MAX_EVIDENCE_AGE_S
+        return now_s - reported_at <= MAX_EVIDENCE_AGE_S
--- a/src/bulrushflow/nodes/evidence_reporting.py
+++ b/src/bulrushflow/nodes/evidence_reporting.py
@@ -59,42 +59,42 @@
 
     def __init__(
         self,
-        book: EvidenceStore,
+        evidence_store: EvidenceStore,
         own_id: str,
         sender: Sender,
         count_bytes: CountBytes = lambda direction, kind, count: None,
     ) -> None:
         """:param count_bytes: told the direction, kind and size of what is sent."""
-        self._book = book
+        self._evidence_store = evidence_store
         self._count_bytes = count_bytes
         self._own_id = own_id
         self._sender = sender
-        self._sent_by_move: dict[int, tuple[int, float]] = {}
-        self._sends_by_id: dict[str, asyncio.Task[None]] = {}
+        self._last_sent_by_offset: dict[int, tuple[int, float]] = {}
+        self._pending_sends_by_id: dict[str, asyncio.Task[None]] = {}
 
-    def send_if_due(self, move: Rollout, group: list[Member], now_s: float) -> None:
+    def send_if_due(self, rollout: Rollout, members: list[Member], now_s: float) -> None:
         """Send the evidence on a move if it is due; doesn't wait for any receiver."""
-        own = self._book.local(move.offset)
-        sequence, sent_at = self._sent_by_move.get(move.offset, (-1, float("-inf")))
+        local = self._evidence_store.local(rollout.offset)
+        sequence, sent_at = self._last_sent_by_offset.get(rollout.offset, (-1, float("-inf")))
         if now_s - sent_at < MIN_REPORT_PERIOD_S:
             return
-        if own.sequence == sequence and now_s - sent_at < UNCHANGED_REPORT_PERIOD_S:
+        if local.sequence == sequence and now_s - sent_at < UNCHANGED_REPORT_PERIOD_S:
             return
-        report = codec.evidence_to_message(own)
+        report = codec.evidence_to_message(local)
         size = len(messages.encode(report))
         period_s, receivers = report_limits(size)
         if now_s - sent_at < period_s:
             return
-        self._sent_by_move[move.offset] = (own.sequence, now_s)
-        for member in rank_members(group, f"move/{move.offset}")[:receivers]:
+        self._last_sent_by_offset[rollout.offset] = (local.sequence, now_s)
+        for member in rank_members(members, f"move/{rollout.offset}")[:receivers]:
             if member.node_id != self._own_id:
                 self._send(member, report, size)
 
-    def retain(self, moves: t.Collection[int]) -> None:
+    def retain(self, active_offsets: t.Collection[int]) -> None:
         """Forget finished moves."""
-        for move in list(self._sent_by_move):
-            if move not in moves:
-                del self._sent_by_move[move]
+        for offset in list(self._last_sent_by_offset):
+            if offset not in active_offsets:
+                del self._last_sent_by_offset[offset]
 
     def merge_report(self, message: t.Any, now_s: float) -> None:
         """Take in another node's report."""
@@ -103,16 +103,16 @@
         except IndexError:
             logger.warning("evidence with an unknown latency bucket passed over")
             return
-        self._book.merge(evidence, now_s)
+        self._evidence_store.merge(evidence, now_s)
 
     def _send(self, member: Member, report: t.Any, size: int) -> None:
         # A receiver that can't be reached may take long, and must hold up neither the others nor
         # its own later reports, which replace this one.
-        if member.node_id in self._sends_by_id:
+        if member.node_id in self._pending_sends_by_id:
             return
         self._count_bytes("sent", "evidence", size)
         task = asyncio.get_running_loop().create_task(
             self._sender.send(member.endpoint, evidence_report=report)
         )
-        self._sends_by_id[member.node_id] = task
-        task.add_done_callback(lambda _: self._sends_by_id.pop(member.node_id, None))
+        self._pending_sends_by_id[member.node_id] = task
+        task.add_done_callback(lambda _: self._pending_sends_by_id.pop(member.node_id, None))
--- a/src/bulrushflow/nodes/forwarding.py
+++ b/src/bulrushflow/nodes/forwarding.py
@@ -63,11 +63,11 @@
             case Err(error):
                 return (unknown if error.sent else not_run)(error.reason), None
             case Ok(frame) if frame.call_answer is not None:
-                answer = frame.call_answer
+                response = frame.call_answer
             case _:
                 return unknown("the other node answered something else"), None
-        report = LoadReport(answer.in_flight or 0, answer.capacity or 0)
-        return codec.result_from_message(answer), report
+        report = LoadReport(response.in_flight or 0, response.capacity or 0)
+        return codec.result_from_message(response), report
 
     async def _serve(self, message: t.Any) -> dict[str, t.Any]:
         call = codec.call_from_message(message, asyncio.get_running_loop().time())
--- a/src/bulrushflow/nodes/log_reader.py
+++ b/src/bulrushflow/nodes/log_reader.py
@@ -83,22 +83,24 @@
                 return
             case Ok(page):
                 pass
-        await self._take(page, generation)
+        await self._process_page(page, generation)
         waited_s = asyncio.get_running_loop().time() - started_at
         if not page.records and waited_s < wait_s / 2 + IDLE_WAIT_S / 2:
             await asyncio.sleep(self._rng.uniform(0, IDLE_WAIT_S))
 
     def _next_offset(self) -> int:
-        held = self._store.current.offset
+        current_offset = self._store.current.offset
         # Records that this release can't apply are still passed on to nodes that can.
-        return max(self._cursor, held + 1) if self._store.unsupported else held + 1
+        return (
+            max(self._cursor, current_offset + 1) if self._store.unsupported else current_offset + 1
+        )
 
-    async def _take(self, page: LogPage, generation: int) -> None:
-        held = self._store.current.offset
-        if page.next_offset <= held:
+    async def _process_page(self, page: LogPage, generation: int) -> None:
+        current_offset = self._store.current.offset
+        if page.next_offset <= current_offset:
             self._owner.handle_log_behind(page.next_offset)
-        far = FAR_BEHIND_FACTOR * self._settings.snapshot_every_records
-        if page.next_offset - held > far and not self._tried_recovery:
+        max_gap = FAR_BEHIND_FACTOR * self._settings.snapshot_every_records
+        if page.next_offset - current_offset > max_gap and not self._tried_recovery:
             self._tried_recovery = True
             if await self._recover(0):
                 self.failures = 0
@@ -107,9 +109,11 @@
         if page.records:
             self._cursor = page.records[-1].offset + 1
         self._owner.handle_page(page, generation)
-        held = self._store.current.offset
-        if page.records and page.records[0].offset > held and not self._store.unsupported:
-            await self._back_off(f"offset {held + 1} is missing before {page.records[0].offset}")
+        current_offset = self._store.current.offset
+        if page.records and page.records[0].offset > current_offset and not self._store.unsupported:
+            await self._back_off(
+                f"offset {current_offset + 1} is missing before {page.records[0].offset}"
+            )
             return
         self.failures = 0
 
@@ -125,9 +129,9 @@
         await asyncio.sleep(self._rng.uniform(0, cap_s))
 
     async def _recover(self, first_offset: int) -> bool:
-        held = self._store.current.offset
+        current_offset = self._store.current.offset
         span = 2 * self._settings.snapshot_every_records
-        match await recover_from_snapshot(self._log, held, first_offset, span):
+        match await recover_from_snapshot(self._log, current_offset, first_offset, span):
             case Err(reason):
                 logger.error("no recovery from a snapshot: {}", reason)
                 return False
--- a/src/bulrushflow/nodes/rollout_driver.py
+++ b/src/bulrushflow/nodes/rollout_driver.py
@@ -36,13 +36,13 @@
 from bulrushflow.timers import Clock
 
 TICK_S = 0.25
-RECORDERS = 3
+IMMEDIATE_RECORDERS = 3
 """Nodes that record a take-back at once; the others follow when the log still lacks it."""
-RECORD_PATIENCE_S = 5.0
-HELD_AT_RISK_S = 10.0
+RECORD_TIMEOUT_S = 5.0
+STALE_EVIDENCE_AT_RISK_S = 10.0
 """Time without fresh evidence after which the deadline counts as at risk."""
 MAX_REASON_CHARS = 240
-DONE_VALID_S = 1.0
+COMPLETION_VALID_S = 1.0
 """Age up to which the decision that a move is done may still be recorded."""
 
 
@@ -87,7 +87,7 @@
         count_bytes: CountBytes = lambda direction, kind, count: None,
     ) -> None:
         self.evidence_store = EvidenceStore(table.own_id, table.own.incarnation)
-        self.reporting = EvidenceReporter(self.evidence_store, table.own_id, links, count_bytes)
+        self.reporter = EvidenceReporter(self.evidence_store, table.own_id, links, count_bytes)
         self._store = store
         self._table = table
         self._shared_rollouts = shared_rollouts
@@ -95,29 +95,29 @@
         self._records = RolloutRecords(recorder, table.own_id)
         self._clock = clock
         self._rng = rng
-        self._gate = VersionFilter()
+        self._version_filter = VersionFilter()
         self._warm_up = WarmUp()
         self._freshness = EvidenceFreshness(self.evidence_store, table)
-        self._controllers_by_move: dict[int, RolloutController] = {}
-        self._taken_back_seen_at: dict[int, float] = {}
-        self._done_decided_at: dict[int, float] = {}
-        self._held_since: dict[int, float] = {}
-        store.subscribe(self._follow)
-        self._follow(store.current)
-        links.handle("evidence_report", self._take_evidence)
+        self._controllers_by_offset: dict[int, RolloutController] = {}
+        self._rollback_seen_at: dict[int, float] = {}
+        self._completion_decided_at: dict[int, float] = {}
+        self._evidence_stale_since: dict[int, float] = {}
+        store.subscribe(self._handle_configuration)
+        self._handle_configuration(store.current)
+        links.handle("evidence_report", self._handle_evidence_report)
         timers.subscribe("moves", TICK_S, self.tick)
 
     def observe(self, call: Call, failed: bool, seconds: float) -> None:
         """Count a call that this node's own target finished."""
         warming = self._warm_up.count_call(self._clock.monotonic())
-        move = self._gate.active_rollout_by_service.get(call.service)
-        if move is not None:
-            own = self.evidence_store.local(move.offset)
-            own.observe(call.version, call.route, failed, seconds, warming)
+        rollout = self._version_filter.active_rollout_by_service.get(call.service)
+        if rollout is not None:
+            local = self.evidence_store.local(rollout.offset)
+            local.observe(call.version, call.route, failed, seconds, warming)
 
     def is_forbidden(self, service: str, version: str) -> bool:
         """Tell whether a version may get no new calls on this node's target."""
-        return self._gate.is_forbidden(
+        return self._version_filter.is_forbidden(
             service, version, self._shared_rollouts.is_rolled_back, self._clock.monotonic()
         )
 
@@ -125,152 +125,171 @@
         """Judge, report and pace the move of the own target's service, if there is one."""
         now_s = self._clock.monotonic()
         self._freshness.detect_pause(now_s)
-        self._follow_own_target()
+        self._update_warm_up()
         target = self._table.own.target
-        move = self._gate.active_rollout_by_service.get(target.service) if target else None
-        if move is None:
+        rollout = (
+            self._version_filter.active_rollout_by_service.get(target.service) if target else None
+        )
+        if rollout is None:
             return
-        group = self._group(move)
-        if all(m.node_id != self._table.own_id for m in group):
+        members = self._service_members(rollout)
+        if all(m.node_id != self._table.own_id for m in members):
             # This node is leaving.
             return
-        self._decide(move, group, now_s)
-        self.reporting.send_if_due(move, group, now_s)
+        self._decide(rollout, members, now_s)
+        self.reporter.send_if_due(rollout, members, now_s)
 
-    async def _take_evidence(self, message: t.Any) -> None:
-        self.reporting.merge_report(message, self._clock.monotonic())
+    async def _handle_evidence_report(self, message: t.Any) -> None:
+        self.reporter.merge_report(message, self._clock.monotonic())
 
-    def _follow_own_target(self) -> None:
+    def _update_warm_up(self) -> None:
         target = self._table.own.target
         ready = target is not None and target.state is TargetState.READY
         self._warm_up.set_version(target.version if target is not None and ready else None)
 
     def potential_writer_count(self) -> int:
         """Return how many live nodes may have records of a move to append now."""
-        moving = self._gate.active_rollout_by_service.keys()
+        services = self._version_filter.active_rollout_by_service.keys()
         targets = (member.target for member in self._table.live_members())
-        return sum(1 for target in targets if target is not None and target.service in moving)
+        return sum(1 for target in targets if target is not None and target.service in services)
 
-    def _group(self, move: Rollout) -> list[Member]:
+    def _service_members(self, rollout: Rollout) -> list[Member]:
         return [
             m
             for m in self._table.live_members()
-            if m.target is not None and m.target.service == move.service
+            if m.target is not None and m.target.service == rollout.service
         ]
 
-    def _controller(self, move: Rollout, now_s: float) -> RolloutController:
-        controller = self._controllers_by_move.get(move.offset)
+    def _controller(self, rollout: Rollout, now_s: float) -> RolloutController:
+        controller = self._controllers_by_offset.get(rollout.offset)
         if controller is None:
-            times = RolloutTimes(move.stated_at_ms, move.finish_by_ms)
-            controller = RolloutController(move.from_version, move.to_version, times, now_s)
-            self._controllers_by_move[move.offset] = controller
+            times = RolloutTimes(rollout.stated_at_ms, rollout.finish_by_ms)
+            controller = RolloutController(rollout.from_version, rollout.to_version, times, now_s)
+            self._controllers_by_offset[rollout.offset] = controller
         return controller
 
-    def _decide(self, move: Rollout, group: list[Member], now_s: float) -> None:
-        controller = self._controller(move, now_s)
-        share = self._shared_rollouts.share_permille(move.offset)
-        verdict = controller.update_analysis(self.evidence_store.totals(move.offset), share, now_s)
-        ranked = [m.node_id for m in rank_members(group, f"move/{move.offset}")]
-        if self._shared_rollouts.is_rolled_back(move.offset):
-            self._record_taken_back(move, ranked, now_s)
+    def _decide(self, rollout: Rollout, members: list[Member], now_s: float) -> None:
+        controller = self._controller(rollout, now_s)
+        share = self._shared_rollouts.share_permille(rollout.offset)
+        result = controller.update_analysis(
+            self.evidence_store.totals(rollout.offset), share, now_s
+        )
+        ranked = [m.node_id for m in rank_members(members, f"move/{rollout.offset}")]
+        if self._shared_rollouts.is_rolled_back(rollout.offset):
+            self._record_rollback(rollout, ranked, now_s)
             return
-        if verdict.outcome is AnalysisOutcome.FAULTY:
-            self._take_back(move, f"{verdict.rule}: {verdict.evidence}")
-            self._record_taken_back(move, ranked, now_s)
+        if result.outcome is AnalysisOutcome.FAULTY:
+            self._roll_back(rollout, f"{result.rule}: {result.evidence}")
+            self._record_rollback(rollout, ranked, now_s)
             return
         if ranked[0] != self._table.own_id:
             return
-        pace = controller.next_step(share, self._clock.wall_ms(), now_s)
-        self._act(move, share, self._checked(move, share, pace, now_s), verdict, now_s)
+        decision = controller.next_step(share, self._clock.wall_ms(), now_s)
+        self._apply_decision(
+            rollout, share, self._hold_if_not_safe(rollout, share, decision, now_s), result, now_s
+        )
 
-    def _checked(self, move: Rollout, share: int, pace: StepDecision, now_s: float) -> StepDecision:
+    def _hold_if_not_safe(
+        self, rollout: Rollout, share: int, decision: StepDecision, now_s: float
+    ) -> StepDecision:
         """Hold a step that lacks a ready target or fresh evidence; a take-back never waits."""
-        if pace.roll_back or (not pace.completed and pace.share_permille <= share):
-            return pace
-        if not self._table.ready_targets(move.service, move.to_version):
+        if decision.roll_back or (not decision.completed and decision.share_permille <= share):
+            return decision
+        if not self._table.ready_targets(rollout.service, rollout.to_version):
             return StepDecision(
-                share, f"no ready target of version {move.to_version}", at_risk=True
+                share, f"no ready target of version {rollout.to_version}", at_risk=True
             )
-        missing = self._freshness.describe_missing(move, now_s)
+        missing = self._freshness.describe_missing(rollout, now_s)
         if missing:
-            held_since = self._held_since.setdefault(move.offset, now_s)
-            at_risk = now_s - held_since >= HELD_AT_RISK_S
+            stale_since = self._evidence_stale_since.setdefault(rollout.offset, now_s)
+            at_risk = now_s - stale_since >= STALE_EVIDENCE_AT_RISK_S
             return StepDecision(share, f"no fresh evidence from {missing}", at_risk=at_risk)
-        self._held_since.pop(move.offset, None)
-        return pace
+        self._evidence_stale_since.pop(rollout.offset, None)
+        return decision
 
-    def _act(
-        self, move: Rollout, share: int, pace: StepDecision, verdict: AnalysisResult, now_s: float
+    def _apply_decision(
+        self,
+        rollout: Rollout,
+        share: int,
+        decision: StepDecision,
+        result: AnalysisResult,
+        now_s: float,
     ) -> None:
-        if pace.roll_back:
-            self._take_back(move, f"{pace.rule} ({verdict.evidence})")
+        if decision.roll_back:
+            self._roll_back(rollout, f"{decision.rule} ({result.evidence})")
             return
-        if pace.at_risk:
-            self._records.record_at_risk(move, share, pace.rule, verdict.evidence)
-        if pace.completed:
-            self._done_decided_at[move.offset] = now_s
+        if decision.at_risk:
+            self._records.record_at_risk(rollout, share, decision.rule, result.evidence)
+        if decision.completed:
+            self._completion_decided_at[rollout.offset] = now_s
             self._records.record_completion(
-                move, pace.rule, verdict.evidence, lambda: self._is_done_current(move.offset)
+                rollout,
+                decision.rule,
+                result.evidence,
+                lambda: self._is_completion_valid(rollout.offset),
             )
-        if pace.share_permille <= share:
+        if decision.share_permille <= share:
             return
-        logger.info("move {} goes to {}%", move.move_id, pace.share_permille / 10)
-        self._shared_rollouts.merge(SharedRollout(move.offset, pace.share_permille))
+        logger.info("move {} goes to {}%", rollout.move_id, decision.share_permille / 10)
+        self._shared_rollouts.merge(SharedRollout(rollout.offset, decision.share_permille))
         self._gossip.disseminate_now()
-        self._records.record_step(move, pace.share_permille, pace.rule, verdict.evidence)
+        self._records.record_step(rollout, decision.share_permille, decision.rule, result.evidence)
 
-    def _is_done_current(self, offset: int) -> bool:
+    def _is_completion_valid(self, offset: int) -> bool:
         # With the log down, a fault may show after the decision; a stale one must not win then.
         if self._shared_rollouts.is_rolled_back(offset):
             return False
-        decided_at = self._done_decided_at.get(offset)
-        return decided_at is not None and self._clock.monotonic() - decided_at < DONE_VALID_S
+        decided_at = self._completion_decided_at.get(offset)
+        return decided_at is not None and self._clock.monotonic() - decided_at < COMPLETION_VALID_S
 
-    def _take_back(self, move: Rollout, reason: str) -> None:
+    def _roll_back(self, rollout: Rollout, reason: str) -> None:
         # The reason goes into datagrams, and a route's name may be long.
         reason = reason[:MAX_REASON_CHARS]
-        logger.warning("move {} is taken back: {}", move.move_id, reason)
-        share = self._shared_rollouts.share_permille(move.offset)
+        logger.warning("move {} is taken back: {}", rollout.move_id, reason)
+        share = self._shared_rollouts.share_permille(rollout.offset)
         own_id = self._table.own_id
-        self._shared_rollouts.merge(SharedRollout(move.offset, share, True, reason, own_id))
+        self._shared_rollouts.merge(SharedRollout(rollout.offset, share, True, reason, own_id))
         self._gossip.disseminate_now()
 
-    def _record_taken_back(self, move: Rollout, ranked: list[str], now_s: float) -> None:
-        seen_at = self._taken_back_seen_at.get(move.offset)
+    def _record_rollback(self, rollout: Rollout, ranked: list[str], now_s: float) -> None:
+        seen_at = self._rollback_seen_at.get(rollout.offset)
         if seen_at is None:
             # The wait differs between nodes, so that most find the record on the log already.
-            seen_at = now_s + self._rng.uniform(0, RECORD_PATIENCE_S)
-            self._taken_back_seen_at[move.offset] = seen_at
-        if self._table.own_id not in ranked[:RECORDERS] and now_s - seen_at < RECORD_PATIENCE_S:
+            seen_at = now_s + self._rng.uniform(0, RECORD_TIMEOUT_S)
+            self._rollback_seen_at[rollout.offset] = seen_at
+        if (
+            self._table.own_id not in ranked[:IMMEDIATE_RECORDERS]
+            and now_s - seen_at < RECORD_TIMEOUT_S
+        ):
             return
-        self._records.record_rollback(move, self._shared_rollouts.by_offset[move.offset])
+        self._records.record_rollback(rollout, self._shared_rollouts.by_offset[rollout.offset])
 
-    def _follow(self, configuration: Configuration) -> None:
-        active = frozenset(move.offset for move in configuration.active_rollouts())
-        self._gate.update(configuration, self._clock.monotonic())
-        self._warn_of_lost_take_backs(configuration)
+    def _handle_configuration(self, configuration: Configuration) -> None:
+        active = frozenset(rollout.offset for rollout in configuration.active_rollouts())
+        self._version_filter.update(configuration, self._clock.monotonic())
+        self._warn_of_overridden_rollbacks(configuration)
         self._shared_rollouts.keep_active(active, configuration.offset)
         self.evidence_store.retain(active)
-        self.reporting.retain(active)
-        held: tuple[dict[int, t.Any], ...] = (
-            self._controllers_by_move,
-            self._taken_back_seen_at,
-            self._done_decided_at,
-            self._held_since,
+        self.reporter.retain(active)
+        per_rollout: tuple[dict[int, t.Any], ...] = (
+            self._controllers_by_offset,
+            self._rollback_seen_at,
+            self._completion_decided_at,
+            self._evidence_stale_since,
         )
-        for by_move in held:
-            for offset in by_move.keys() - active:
-                del by_move[offset]
-
-    def _warn_of_lost_take_backs(self, configuration: Configuration) -> None:
-        for move in configuration.moves_by_id.values():
-            service = configuration.services_by_name.get(move.service)
-            if service is None or service.version != move.to_version:
+        for by_offset in per_rollout:
+            for offset in by_offset.keys() - active:
+                del by_offset[offset]
+
+    def _warn_of_overridden_rollbacks(self, configuration: Configuration) -> None:
+        for rollout in configuration.moves_by_id.values():
+            service = configuration.services_by_name.get(rollout.service)
+            if service is None or service.version != rollout.to_version:
                 continue
-            if self._shared_rollouts.is_rolled_back(move.offset):
+            if self._shared_rollouts.is_rolled_back(rollout.offset):
                 logger.error(
                     "move {} was done on the log before its take-back; move {} back to {}",
-                    move.move_id,
-                    move.service,
-                    move.from_version,
+                    rollout.move_id,
+                    rollout.service,
+                    rollout.from_version,
                 )
--- a/src/bulrushflow/nodes/rollout_records.py
+++ b/src/bulrushflow/nodes/rollout_records.py
@@ -31,23 +31,23 @@
         self._recorder = recorder
         self._own_id = own_id
 
-    def record_step(self, move: Rollout, share_permille: int, rule: str, evidence: str) -> None:
+    def record_step(self, rollout: Rollout, share_permille: int, rule: str, evidence: str) -> None:
         """Record that the share was raised."""
-        self._step(move, f"step/{share_permille}", share_permille, rule, evidence)
+        self._step(rollout, f"step/{share_permille}", share_permille, rule, evidence)
 
     def record_at_risk(
-        self, move: Rollout, share_permille: int, reason: str, evidence: str
+        self, rollout: Rollout, share_permille: int, reason: str, evidence: str
     ) -> None:
         """Record, once a move, that its deadline may not be met safely."""
-        self._step(move, "at-risk", share_permille, f"at risk: {reason}", evidence)
+        self._step(rollout, "at-risk", share_permille, f"at risk: {reason}", evidence)
 
-    def record_rollback(self, move: Rollout, state: SharedRollout) -> None:
+    def record_rollback(self, rollout: Rollout, state: SharedRollout) -> None:
         """Record the take-back that the nodes agreed on; its reason holds the figures."""
         self._recorder.submit(
             FinishRollout(
                 RECORD_SCHEMA,
-                f"{move.move_id}/taken-back",
-                move.move_id,
+                f"{rollout.move_id}/taken-back",
+                rollout.move_id,
                 True,
                 state.reason,
                 f"recorded by {self._own_id}",
@@ -56,13 +56,13 @@
         )
 
     def record_completion(
-        self, move: Rollout, rule: str, evidence: str, is_current: t.Callable[[], bool]
+        self, rollout: Rollout, rule: str, evidence: str, is_current: t.Callable[[], bool]
     ) -> None:
         """Record that the move is done, as long as ``is_current`` says that it still is."""
         record = FinishRollout(
             RECORD_SCHEMA,
-            f"{move.move_id}/done",
-            move.move_id,
+            f"{rollout.move_id}/done",
+            rollout.move_id,
             False,
             rule,
             evidence,
@@ -71,13 +71,13 @@
         self._recorder.submit(record, is_current)
 
     def _step(
-        self, move: Rollout, event: str, share_permille: int, rule: str, evidence: str
+        self, rollout: Rollout, event: str, share_permille: int, rule: str, evidence: str
     ) -> None:
         self._recorder.submit(
             RecordRolloutStep(
                 RECORD_SCHEMA,
-                f"{move.move_id}/{event}",
-                move.move_id,
+                f"{rollout.move_id}/{event}",
+                rollout.move_id,
                 share_permille,
                 rule,
                 evidence,
--- a/tests/nodes/mesh.py
+++ b/tests/nodes/mesh.py
@@ -27,7 +27,7 @@
 OLD, NEW = "v1", "v2"
 ROLLOUT_DURATION_S = 40
 ROLLOUT_OFFSET = 1
-CALLS_A_TICK = 40
+CALLS_PER_TICK = 40
 FAILING_LATENCY_S = 0.010
 
 Message = tuple[tuple[str, int], t.Any]
@@ -89,7 +89,7 @@
         if record.publish_id not in self.store.current.verdicts_by_publish_id:
             self.submitted.setdefault(record.publish_id, (record, is_current))
 
-    def count(self, version: str, failed: bool) -> None:
+    def observe_call(self, version: str, failed: bool) -> None:
         call = Call("r", "t", "plots", version, "/plots", "GET", "/plots", (), b"", 0.0, True)
         self.driver.observe(call, failed, FAILING_LATENCY_S)
 
@@ -133,7 +133,7 @@
         """Put a record on the log and bring it to every node that runs."""
         body = encode_record(record)
         self.records.append(LogRecord(len(self.records), self.clock.wall_ms(), body))
-        self._follow_log()
+        self._deliver_log()
 
     def deliver(self, sender: FakeNode, endpoint: tuple[str, int], message: t.Any) -> None:
         for node in self.nodes:
@@ -150,7 +150,7 @@
         """Let calls, ticks, messages and the log go on for so long."""
         for _ in range(int(seconds / TICK_S)):
             self.clock.now_s += TICK_S
-            self._follow_log()
+            self._deliver_log()
             self._make_calls()
             for node in self.nodes:
                 if node.paused:
@@ -163,12 +163,12 @@
                 self.disseminate(node)
             # Sends run as tasks of the loop.
             await _settle()
-            self._record()
+            self._append_submitted()
 
     def _make_calls(self) -> None:
         old = [node for node in self.nodes if node.version == OLD]
         new = [node for node in self.nodes if node.version == NEW]
-        for i in range(CALLS_A_TICK):
+        for i in range(CALLS_PER_TICK):
             # A fixed pattern instead of chance: every run is the same.
             to_new = (i * 389 + int(self.clock.now_s / TICK_S) * 97) % 1000 < self.traffic_share()
             node = (new if to_new else old)[i % len(new if to_new else old)]
@@ -176,9 +176,9 @@
             if node.paused or node.driver.is_forbidden("plots", version):
                 continue
             self.new_calls += to_new
-            node.count(version, to_new and self.new_version_fails)
+            node.observe_call(version, to_new and self.new_version_fails)
 
-    def _record(self) -> None:
+    def _append_submitted(self) -> None:
         if self.log_down:
             return
         for node in self.nodes:
@@ -189,7 +189,7 @@
                     self.append(record)
             node.submitted.clear()
 
-    def _follow_log(self) -> None:
+    def _deliver_log(self) -> None:
         for node in self.nodes:
             if not node.paused:
                 node.store.apply(self.records)
--- a/tests/nodes/test_evidence_reporting.py
+++ b/tests/nodes/test_evidence_reporting.py
@@ -24,8 +24,8 @@
 from bulrushflow.wire import codec
 from bulrushflow.wire import messages
 
-MOVE = Rollout("m", 7, "plots", "v1", "v2", 0, 60_000, "ana")
-GROUP = [Member(f"n{i}", "celje-a", "127.0.0.1", 1 + i, 1) for i in range(30)]
+ROLLOUT = Rollout("m", 7, "plots", "v1", "v2", 0, 60_000, "ana")
+MEMBERS = [Member(f"n{i}", "celje-a", "127.0.0.1", 1 + i, 1) for i in range(30)]
 
 
 class StuckSender:
@@ -41,7 +41,7 @@
             await asyncio.Event().wait()
 
 
-class ReportingTests(unittest.IsolatedAsyncioTestCase):
+class EvidenceReporterTests(unittest.IsolatedAsyncioTestCase):
     def test_reports_keep_to_the_budget_down_to_the_fewest_receivers(self) -> None:
         for size in (50, 500, 2000, 5000, 100_000):
             with self.subTest(size):
@@ -57,20 +57,20 @@
         )
 
     async def test_an_unreachable_receiver_holds_up_no_other(self) -> None:
-        book = EvidenceStore("n0", 1)
-        book.local(7).observe("v2", "/dues", False, 0.01)
+        evidence_store = EvidenceStore("n0", 1)
+        evidence_store.local(7).observe("v2", "/dues", False, 0.01)
         sender = StuckSender(0)
-        reporting = EvidenceReporter(book, "n0", sender)
-        reporting.send_if_due(MOVE, GROUP, 0.0)
+        reporter = EvidenceReporter(evidence_store, "n0", sender)
+        reporter.send_if_due(ROLLOUT, MEMBERS, 0.0)
         await asyncio.sleep(0)
         receivers = set(sender.ports)
         self.assertLessEqual(len(receivers), MAX_RECEIVERS)
         stuck = min(receivers)
         sender = StuckSender(stuck)
-        reporting = EvidenceReporter(book, "n0", sender)
+        reporter = EvidenceReporter(evidence_store, "n0", sender)
         for i in range(5):
-            book.local(7).observe("v2", "/dues", False, 0.01)
-            reporting.send_if_due(MOVE, GROUP, 10.0 * i)
+            evidence_store.local(7).observe("v2", "/dues", False, 0.01)
+            reporter.send_if_due(ROLLOUT, MEMBERS, 10.0 * i)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         self.assertEqual(sender.ports.count(stuck), 1)
@@ -81,9 +81,9 @@
 
     async def test_unchanged_evidence_is_repeated_seldom(self) -> None:
         sender = StuckSender(0)
-        reporting = EvidenceReporter(EvidenceStore("n0", 1), "n0", sender)
+        reporter = EvidenceReporter(EvidenceStore("n0", 1), "n0", sender)
         for i in range(40):
-            reporting.send_if_due(MOVE, GROUP[:2], i * UNCHANGED_REPORT_PERIOD_S / 10)
+            reporter.send_if_due(ROLLOUT, MEMBERS[:2], i * UNCHANGED_REPORT_PERIOD_S / 10)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         self.assertEqual(len(sender.ports), 4)
@@ -99,10 +99,10 @@
         self.assertEqual(codec.evidence_from_message(decoded), evidence)
 
     def test_a_report_with_an_unknown_bucket_is_passed_over(self) -> None:
-        book = EvidenceStore("n0", 1)
+        evidence_store = EvidenceStore("n0", 1)
         route = messages.RouteEvidence(
             version="v2", route="/a", calls=1, errors=0, sparse_buckets=[99, 1]
         )
         report = messages.EvidenceReport(move=7, node_id="n1", sequence=1, routes=[route])
-        EvidenceReporter(book, "n0", StuckSender(0)).merge_report(report, 1.0)
-        self.assertEqual(book.totals(7), {})
+        EvidenceReporter(evidence_store, "n0", StuckSender(0)).merge_report(report, 1.0)
+        self.assertEqual(evidence_store.totals(7), {})
--- a/tests/nodes/test_log_reader.py
+++ b/tests/nodes/test_log_reader.py
@@ -23,7 +23,7 @@
     def __init__(self, store: ConfigurationStore) -> None:
         self.checking = True
         self.pages = 0
-        self.behind = 0
+        self.log_behind_reports = 0
         self._store = store
 
     def is_checking(self) -> bool:
@@ -44,7 +44,7 @@
 
     def handle_log_behind(self, next_offset: int) -> None:
         """See :meth:`LogReaderOwner.handle_log_behind`."""
-        self.behind += 1
+        self.log_behind_reports += 1
 
 
 class LogReaderTests(unittest.IsolatedAsyncioTestCase):
@@ -84,7 +84,7 @@
         log = MemoryLog([change(7)])
         with mock.patch("bulrushflow.nodes.log_reader.IDLE_WAIT_S", 60.0):
             self.start(log, store)
-            await until(lambda: self.owner.behind > 0)
+            await until(lambda: self.owner.log_behind_reports > 0)
             await asyncio.sleep(0.05)
         self.assertEqual((store.current.offset, log.reads), (4, 1))
 
--- a/tests/nodes/test_rollout_driver.py
+++ b/tests/nodes/test_rollout_driver.py
@@ -39,28 +39,28 @@
         node.table.raise_status(dead.table.own_id, Status.DEAD, 0.0)
 
 
-def all_together(mesh: Mesh) -> None:
+def log_down_and_driver_dead(mesh: Mesh) -> None:
     log_down(mesh)
     driver_dead(mesh)
 
 
-class MoveDriverTests(unittest.IsolatedAsyncioTestCase):
-    def move(self, mesh: Mesh) -> Rollout:
+class RolloutDriverTests(unittest.IsolatedAsyncioTestCase):
+    def rollout(self, mesh: Mesh) -> Rollout:
         return mesh.configuration.moves_by_id["m"]
 
-    async def run_until_shared(self, mesh: Mesh) -> None:
+    async def run_until_ten_percent(self, mesh: Mesh) -> None:
         while mesh.traffic_share() < 100:
             await mesh.run(0.25)
 
     async def test_a_good_version_is_done_in_time_with_its_account(self) -> None:
         mesh = Mesh()
         await mesh.run(ROLLOUT_DURATION_S)
-        move = self.move(mesh)
-        self.assertIs(move.status, RolloutStatus.COMPLETED)
-        self.assertLess(move.finished_at_ms, move.finish_by_ms)
-        shares = [step.share_permille for step in move.steps]
+        rollout = self.rollout(mesh)
+        self.assertIs(rollout.status, RolloutStatus.COMPLETED)
+        self.assertLess(rollout.finished_at_ms, rollout.finish_by_ms)
+        shares = [step.share_permille for step in rollout.steps]
         self.assertEqual(shares, sorted(set(shares)))
-        self.assertTrue(all(step.rule and step.evidence for step in move.steps))
+        self.assertTrue(all(step.rule and step.evidence for step in rollout.steps))
 
     async def test_only_the_nodes_of_moving_services_count_as_writers(self) -> None:
         mesh = Mesh()
@@ -69,7 +69,7 @@
             elsewhere = Target("payments", "v1", TargetState.READY, 20)
             other = Member(f"other-{i}", "velenje", "127.0.0.1", 1000 + i, 1, target=elsewhere)
             mesh.nodes[0].table.merge(other, 0.0)
-        await self.run_until_shared(mesh)
+        await self.run_until_ten_percent(mesh)
         self.assertEqual(driver.potential_writer_count(), len(mesh.nodes))
         await mesh.run(ROLLOUT_DURATION_S)
         self.assertEqual(driver.potential_writer_count(), 0)
@@ -82,27 +82,27 @@
             "log down": log_down,
             "driver paused": driver_paused,
             "driver dead": driver_dead,
-            "log down and driver dead": all_together,
+            "log down and driver dead": log_down_and_driver_dead,
         }
         for name, fault in cases.items():
             with self.subTest(name):
                 mesh = Mesh()
-                await self.run_until_shared(mesh)
+                await self.run_until_ten_percent(mesh)
                 fault(mesh)
                 mesh.new_version_fails = True
                 await mesh.run(10)
-                self.assertEqual(max_share_of_running(mesh), 0)
+                self.assertEqual(max_share_of_running_nodes(mesh), 0)
                 calls = mesh.new_calls
                 await mesh.run(ROLLOUT_DURATION_S)
                 self.assertEqual(mesh.new_calls, calls)
                 mesh.log_down = False
                 await mesh.run(10)
-                self.assertIs(self.move(mesh).status, RolloutStatus.ROLLED_BACK)
-                self.assertIn("errors", self.move(mesh).reason)
+                self.assertIs(self.rollout(mesh).status, RolloutStatus.ROLLED_BACK)
+                self.assertIn("errors", self.rollout(mesh).reason)
 
     async def test_a_driver_that_wakes_raises_nothing_on_old_evidence(self) -> None:
         mesh = Mesh()
-        await self.run_until_shared(mesh)
+        await self.run_until_ten_percent(mesh)
         driver = mesh.driver
         driver.paused = True
         driver.cut_off = True
@@ -118,19 +118,19 @@
 
     async def test_another_node_drives_on_after_the_driver_died(self) -> None:
         mesh = Mesh()
-        await self.run_until_shared(mesh)
+        await self.run_until_ten_percent(mesh)
         driver_dead(mesh)
         await mesh.run(ROLLOUT_DURATION_S)
-        self.assertIs(self.move(mesh).status, RolloutStatus.COMPLETED)
+        self.assertIs(self.rollout(mesh).status, RolloutStatus.COMPLETED)
 
     async def test_two_drivers_at_once_leave_one_account(self) -> None:
         mesh = Mesh()
         second = mesh.nodes[0] if mesh.nodes[0] is not mesh.driver else mesh.nodes[1]
         second.table.raise_status(mesh.driver.table.own_id, Status.DEAD, 0.0)
         await mesh.run(ROLLOUT_DURATION_S)
-        move = self.move(mesh)
-        self.assertIs(move.status, RolloutStatus.COMPLETED)
-        shares = [step.share_permille for step in move.steps]
+        rollout = self.rollout(mesh)
+        self.assertIs(rollout.status, RolloutStatus.COMPLETED)
+        shares = [step.share_permille for step in rollout.steps]
         self.assertEqual(len(shares), len(set(shares)))
 
     async def test_a_done_that_the_log_did_not_take_does_not_outlive_a_later_fault(self) -> None:
@@ -145,28 +145,28 @@
         driver = mesh.driver
         mesh.nodes.sort(key=lambda node: node is not driver)
         await mesh.run(10)
-        self.assertIs(self.move(mesh).status, RolloutStatus.ROLLED_BACK)
+        self.assertIs(self.rollout(mesh).status, RolloutStatus.ROLLED_BACK)
 
     async def test_a_move_without_ready_targets_is_told_early_and_taken_back(self) -> None:
         mesh = Mesh(new_nodes=0)
         await mesh.run(ROLLOUT_DURATION_S / 2)
-        step = self.move(mesh).steps[0]
+        step = self.rollout(mesh).steps[0]
         self.assertIn("at risk: no ready target", step.rule)
         await mesh.run(ROLLOUT_DURATION_S)
-        self.assertIs(self.move(mesh).status, RolloutStatus.ROLLED_BACK)
-        self.assertIn("deadline", self.move(mesh).reason)
+        self.assertIs(self.rollout(mesh).status, RolloutStatus.ROLLED_BACK)
+        self.assertIn("deadline", self.rollout(mesh).reason)
 
     async def test_missing_evidence_is_told_before_the_deadline(self) -> None:
         mesh = Mesh()
         new = [n for n in mesh.nodes if n.version == NEW and n is not mesh.driver]
         new[0].cut_off = True
         await mesh.run(ROLLOUT_DURATION_S / 2)
-        rules = [step.rule for step in self.move(mesh).steps]
+        rules = [step.rule for step in self.rollout(mesh).steps]
         self.assertIn(f"at risk: no fresh evidence from {new[0].table.own_id}", rules)
 
     async def test_a_withdrawn_version_gets_no_calls_though_a_driver_lags(self) -> None:
         mesh = Mesh()
-        await self.run_until_shared(mesh)
+        await self.run_until_ten_percent(mesh)
         mesh.driver.paused = True
         mesh.append(WithdrawRollout(1, "w", "ana", "m", "wrong build"))
         calls = mesh.new_calls
@@ -174,22 +174,22 @@
         mesh.driver.paused = False
         await mesh.run(5)
         self.assertEqual(mesh.new_calls, calls)
-        self.assertIs(self.move(mesh).status, RolloutStatus.WITHDRAWN)
+        self.assertIs(self.rollout(mesh).status, RolloutStatus.WITHDRAWN)
 
     async def test_one_unreachable_receiver_does_not_hold_up_the_others(self) -> None:
         mesh = Mesh()
         mesh.nodes[1].cut_off = True
         await mesh.run(5)
-        reporting = [n for n in mesh.nodes if n is not mesh.nodes[1] and n is not mesh.driver]
-        for node in reporting:
-            heard_at = mesh.driver.driver.evidence_store.last_report_at(
+        reporting_nodes = [n for n in mesh.nodes if n is not mesh.nodes[1] and n is not mesh.driver]
+        for node in reporting_nodes:
+            reported_at = mesh.driver.driver.evidence_store.last_report_at(
                 ROLLOUT_OFFSET, node.table.own_id
             )
-            self.assertIsNotNone(heard_at)
+            self.assertIsNotNone(reported_at)
 
     async def test_after_done_the_old_version_is_refused_only_after_a_while(self) -> None:
         mesh = Mesh()
-        while self.move(mesh).status is RolloutStatus.ACTIVE:
+        while self.rollout(mesh).status is RolloutStatus.ACTIVE:
             await mesh.run(0.25)
         node = mesh.nodes[0]
         self.assertFalse(node.driver.is_forbidden("plots", OLD))
@@ -198,6 +198,6 @@
         self.assertTrue(node.driver.is_forbidden("plots", OLD))
 
 
-def max_share_of_running(mesh: Mesh) -> int:
+def max_share_of_running_nodes(mesh: Mesh) -> int:
     running = [node for node in mesh.nodes if not node.paused]
     return max(node.shared_rollouts.share_permille(ROLLOUT_OFFSET) for node in running)
--- a/tests/recording/fakes.py
+++ b/tests/recording/fakes.py
@@ -15,7 +15,7 @@
 
 
 class MemoryLog:
-    """One stream; the next appends fail with ``errors``, or after the write if responses are lost."""
+    """One stream; the next appends fail with ``errors``, or lose their response after the write."""
 
     def __init__(self, bodies: list[bytes] | None = None, page_records: int = 4) -> None:
         self.records = [LogRecord(i, 1000 + i, b) for i, b in enumerate(bodies or [])]
