--- a/src/bulrushflow/nodes/__init__.py
+++ b/src/bulrushflow/nodes/__init__.py
@@ -1,4 +1,4 @@
-"""Other nodes: membership over UDP, spreading of records, forwarded calls."""
+"""Communication between nodes: membership, log records, rollouts and forwarded calls."""
 
 from bulrushflow.nodes.dissemination import RecordDissemination
 from bulrushflow.nodes.forwarding import Forwarding
--- a/src/bulrushflow/nodes/evidence_freshness.py
+++ b/src/bulrushflow/nodes/evidence_freshness.py
@@ -1,19 +1,22 @@
-"""Whether the evidence that this node holds is recent enough to raise a share on."""
+"""Checks whether evidence is recent enough to raise a rollout's traffic share on."""
 
 from bulrushflow.configuration import Rollout
 from bulrushflow.membership import MemberTable
 from bulrushflow.rollouts import EvidenceStore
 
 MAX_EVIDENCE_AGE_S = 4.0
-"""Age up to which a node's last report counts as fresh, on this node's monotonic clock."""
+"""Age up to which a node's last report is fresh, on this node's monotonic clock."""
 PAUSE_THRESHOLD_S = 1.5
-"""Gap between two ticks that shows that this process was paused."""
+"""Gap between two checks beyond which the process counts as paused."""
 SETTLE_S = 0.5
-"""Time after a pause in which what arrives may have waited in a queue."""
+"""Time after a pause in which received reports may be old, since they were queued."""
 
 
 class EvidenceFreshness:
-    """Follows which nodes reported lately; what came before a pause of this process is stale."""
+    """Checks which nodes sent a recent report.
+
+    Reports from before a pause of this process count as stale.
+    """
 
     __slots__ = ("_checked_at", "_evidence_store", "_table", "_trusted_after")
 
@@ -24,16 +27,16 @@
         self._trusted_after = float("-inf")
 
     def detect_pause(self, now_s: float) -> None:
-        """Note the time of a tick, to find pauses."""
+        """Detect a pause of the process; called with every tick of the rollout driver."""
         if self._checked_at is not None and now_s - self._checked_at > PAUSE_THRESHOLD_S:
             self._trusted_after = now_s + SETTLE_S
         self._checked_at = now_s
 
     def describe_missing(self, rollout: Rollout, now_s: float) -> str:
-        """Return whose report is missing for a go-ahead; empty when none is.
+        """Return whose fresh report is missing to raise the traffic share, or an empty text.
 
-        Every ready target of the new version and at least half of the old version's must have
-        been heard.
+        Fresh reports are required of every ready target of the new version and of at least half
+        of the old version's.
         """
         if now_s <= self._trusted_after:
             return "anyone since this process was paused"
--- a/src/bulrushflow/nodes/evidence_reporting.py
+++ b/src/bulrushflow/nodes/evidence_reporting.py
@@ -1,4 +1,4 @@
-"""Exchange of evidence on moves among the nodes of a service, bounded in bytes and receivers."""
+"""Exchange of rollout evidence between the nodes of a service, bounded in bytes and receivers."""
 
 import asyncio
 import typing as t
@@ -15,31 +15,34 @@
 
 MAX_RECEIVERS = 8
 MIN_RECEIVERS = 3
-"""Receivers that are kept however large a report is: the driver and those after it in line."""
+"""Receivers of a report of any size: the driver, and the nodes that would replace it."""
 MIN_REPORT_PERIOD_S = 0.5
+"""Shortest period between two reports on a rollout."""
 MAX_REPORT_PERIOD_S = 1.5
-"""Longest period while there are receivers to leave out."""
+"""Longest period before the number of receivers is reduced."""
 MAX_LARGE_REPORT_PERIOD_S = 3.0
-"""Longest period at all; evidence has to stay fresh enough for the driver."""
+"""Longest period of all; a longer one would let evidence become stale at the driver."""
 UNCHANGED_REPORT_PERIOD_S = 1.5
-"""Time after which a report is repeated although nothing changed, to show that the node lives."""
+"""Period of reports without a change, which show that the node is still running."""
 BUDGET_BYTES_PER_S = 4096
+"""Bound on one node's reports on one rollout, over all receivers."""
 
 
 CountBytes = t.Callable[[str, str, int], None]
 
 
 class Sender(t.Protocol):
-    """What delivers one message without an answer, or drops it."""
+    """Sends messages that get no response; those that can't be delivered are dropped."""
 
     async def send(self, endpoint: Endpoint, **body: t.Any) -> None:
         """Send a message to a node."""
 
 
 def report_limits(report_bytes: int) -> tuple[float, int]:
-    """Return the period in seconds and the number of receivers that keep to the budget.
+    """Return the period in seconds and the number of receivers that stay within the byte budget.
 
-    A longer period is tried before fewer receivers, and the longest one after that.
+    The period is extended first, then receivers are left out, and last the period is extended up
+    to its maximum, at which a very large report may exceed the budget.
     """
     period_s = report_bytes * MAX_RECEIVERS / BUDGET_BYTES_PER_S
     if period_s <= MAX_REPORT_PERIOD_S:
@@ -52,9 +55,11 @@
 
 
 class EvidenceReporter:
-    """Sends this node's evidence to the first nodes of a move's group and takes in theirs.
+    """Sends this node's evidence to the highest-ranked nodes of the service and merges theirs.
 
-    The receivers are ranked as drivers are, so every candidate for driving has the evidence.
+    The ranking is the one that picks the driver, so the nodes next in line have the evidence too.
+
+    :param count_bytes: receives the direction, kind and size of what is sent.
     """
 
     def __init__(
@@ -64,7 +69,6 @@
         sender: Sender,
         count_bytes: CountBytes = lambda direction, kind, count: None,
     ) -> None:
-        """:param count_bytes: told the direction, kind and size of what is sent."""
         self._evidence_store = evidence_store
         self._count_bytes = count_bytes
         self._own_id = own_id
@@ -73,7 +77,7 @@
         self._pending_sends_by_id: dict[str, asyncio.Task[None]] = {}
 
     def send_if_due(self, rollout: Rollout, members: list[Member], now_s: float) -> None:
-        """Send the evidence on a move if it is due; doesn't wait for any receiver."""
+        """Send the evidence on a rollout if a report is due, without waiting for receivers."""
         local = self._evidence_store.local(rollout.offset)
         sequence, sent_at = self._last_sent_by_offset.get(rollout.offset, (-1, float("-inf")))
         if now_s - sent_at < MIN_REPORT_PERIOD_S:
@@ -91,23 +95,25 @@
                 self._send(member, report, size)
 
     def retain(self, active_offsets: t.Collection[int]) -> None:
-        """Forget finished moves."""
+        """Remove the state of all rollouts but the given ones."""
         for offset in list(self._last_sent_by_offset):
             if offset not in active_offsets:
                 del self._last_sent_by_offset[offset]
 
     def merge_report(self, message: t.Any, now_s: float) -> None:
-        """Take in another node's report."""
+        """Merge another node's report; one with an unknown latency bucket is skipped."""
         try:
             evidence = codec.evidence_from_message(message)
         except IndexError:
-            logger.warning("evidence with an unknown latency bucket passed over")
+            logger.warning(
+                "evidence report of node {} skipped: unknown latency bucket", message.node_id
+            )
             return
         self._evidence_store.merge(evidence, now_s)
 
     def _send(self, member: Member, report: t.Any, size: int) -> None:
-        # A receiver that can't be reached may take long, and must hold up neither the others nor
-        # its own later reports, which replace this one.
+        # Sending to an unreachable receiver may take long. It must not delay the other receivers,
+        # nor queue reports for this one: each replaces the one before.
         if member.node_id in self._pending_sends_by_id:
             return
         self._count_bytes("sent", "evidence", size)
--- a/src/bulrushflow/nodes/forwarding.py
+++ b/src/bulrushflow/nodes/forwarding.py
@@ -1,4 +1,4 @@
-"""Calls that one node passes to the node beside the chosen target."""
+"""Forwarding of calls to the node that runs next to the chosen target."""
 
 import asyncio
 import typing as t
@@ -18,34 +18,37 @@
 
 RESPONSE_MARGIN_FRACTION = 0.1
 MAX_RESPONSE_MARGIN_S = 0.02
-"""The gatekeeper's deadline is earlier by up to so much, so that its verdict arrives in time."""
+"""The other node's deadline is earlier by the fraction of the time left, at most by this margin.
+
+Its response, including a refusal for lack of time, then arrives before the caller's deadline.
+"""
 
 
 class CallRunner(t.Protocol):
-    """What admits calls to this node's own target."""
+    """Admits calls to this node's own target and runs them."""
 
     @property
     def load(self) -> int:
-        """Slots that are not free, and calls that wait for one."""
+        """Occupied slots plus queued calls."""
 
     @property
     def capacity(self) -> int:
-        """Calls that may run at once now."""
+        """Calls that may run concurrently now."""
 
     async def run(self, call: Call) -> CallResult:
-        """Run a call on the target or refuse it."""
+        """Run a call on the target, or refuse it."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a node told of its target's load with an answer."""
+    """A target's load, as its node reports it with a response."""
 
     load: int
     capacity: int
 
 
 class Forwarding:
-    """Sends calls to other nodes, and runs the calls that they send."""
+    """Forwards calls to other nodes, and runs the calls that they forward."""
 
     def __init__(self, links: Links, runner: CallRunner) -> None:
         self._links = links
@@ -53,7 +56,7 @@
         links.handle("call_request", self._serve)
 
     async def send(self, member: Member, call: Call) -> tuple[CallResult, LoadReport | None]:
-        """Run a call through another node; also return the load that it reports."""
+        """Run a call through another node; return the result, and the load that it reports."""
         left_s = call.deadline - asyncio.get_running_loop().time()
         if left_s <= 0:
             return refused("no time left"), None
@@ -65,7 +68,7 @@
             case Ok(frame) if frame.call_answer is not None:
                 response = frame.call_answer
             case _:
-                return unknown("the other node answered something else"), None
+                return unknown("the other node responded with another kind of message"), None
         report = LoadReport(response.in_flight or 0, response.capacity or 0)
         return codec.result_from_message(response), report
 
--- a/src/bulrushflow/nodes/log_reader.py
+++ b/src/bulrushflow/nodes/log_reader.py
@@ -1,4 +1,4 @@
-"""Reading the log on the few nodes of a data centre that do."""
+"""Reads the log, on the few nodes of a data centre that have this role."""
 
 import asyncio
 import random
@@ -21,32 +21,32 @@
 FIRST_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
 IDLE_WAIT_S = 0.5
-"""Longest random wait after an empty page that came at once."""
+"""Longest random wait after an empty page that was returned without waiting."""
 FAR_BEHIND_FACTOR = 4
-"""Behind by so many snapshot intervals, a node starts from a snapshot instead."""
+"""Snapshot intervals behind the log's end from which a node starts from a snapshot instead."""
 
 
 class LogReaderOwner(t.Protocol):
-    """What the reader reports to."""
+    """Applies what the reader reads, and decides how it reads."""
 
     def is_checking(self) -> bool:
-        """Tell whether the reader should not wait for the next record."""
+        """Return whether a check for freshness is in progress, so that reads must not wait."""
 
     def generation(self) -> int:
-        """Return the generation of the check in progress."""
+        """Return the generation of the latest check for freshness."""
 
     def apply(self, records: t.Iterable[LogRecord]) -> int:
         """Apply records; return how many were new."""
 
     def handle_page(self, page: LogPage, generation: int) -> None:
-        """Take note of a page, whose records have been applied."""
+        """Handle a page after its records were applied; ``generation`` is that of its request."""
 
     def handle_log_behind(self, next_offset: int) -> None:
-        """Take note that the log ends below the version held."""
+        """Report that the log ends below the current version."""
 
 
 class LogReader:
-    """Reads the log from the version held on, for as long as :meth:`run` is not cancelled."""
+    """Reads the log from the current version on, until :meth:`run` is cancelled."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         rng: random.Random,
     ) -> None:
         self.failures = 0
-        """Failed reads in a row."""
+        """Consecutive failed reads."""
         self._owner = owner
         self._store = store
         self._log = log
@@ -72,7 +72,7 @@
             await self._read_once()
 
     async def _read_once(self) -> None:
-        # A check must not wait, or a quiet log would keep the node from being ready.
+        # A check must not wait, or the node would not become ready while the log gets no records.
         at_once = self._owner.is_checking() and not self._store.unsupported
         wait_s = 0.0 if at_once else self._settings.long_poll_s
         generation = self._owner.generation()
@@ -90,7 +90,7 @@
 
     def _next_offset(self) -> int:
         current_offset = self._store.current.offset
-        # Records that this release can't apply are still passed on to nodes that can.
+        # Records that this release can't apply are still read, for nodes that can apply them.
         return (
             max(self._cursor, current_offset + 1) if self._store.unsupported else current_offset + 1
         )
@@ -124,7 +124,7 @@
 
     async def _back_off(self, reason: str) -> None:
         self.failures += 1
-        logger.warning("reading the log failed: {}", reason)
+        logger.warning("reading the log failed {} times in a row: {}", self.failures, reason)
         cap_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** min(self.failures, 10))
         await asyncio.sleep(self._rng.uniform(0, cap_s))
 
@@ -133,7 +133,7 @@
         span = 2 * self._settings.snapshot_every_records
         match await recover_from_snapshot(self._log, current_offset, first_offset, span):
             case Err(reason):
-                logger.error("no recovery from a snapshot: {}", reason)
+                logger.error("recovery from a snapshot failed: {}", reason)
                 return False
             case Ok(recovery):
                 pass
--- a/src/bulrushflow/nodes/rollout_driver.py
+++ b/src/bulrushflow/nodes/rollout_driver.py
@@ -1,7 +1,7 @@
-"""Drives moves: judges evidence, raises shares, and takes bad versions back.
+"""Drives rollouts: analyses evidence, raises the traffic share and rolls back faulty versions.
 
-Every node of the service judges by itself and may take a move back; one of them, the driver, also
-raises the share and ends the move.
+Every node of the service runs the analysis itself and may roll back; one of them, the driver, also
+raises the traffic share and completes the rollout.
 """
 
 import random
@@ -37,41 +37,48 @@
 
 TICK_S = 0.25
 IMMEDIATE_RECORDERS = 3
-"""Nodes that record a take-back at once; the others follow when the log still lacks it."""
+"""Nodes that append a rollback at once; the others only if it isn't on the log after a time."""
 RECORD_TIMEOUT_S = 5.0
+"""Time that the other nodes wait for the record, after a random delay of up to as much."""
 STALE_EVIDENCE_AT_RISK_S = 10.0
-"""Time without fresh evidence after which the deadline counts as at risk."""
+"""Time without fresh evidence after which the rollout's deadline counts as at risk."""
 MAX_REASON_CHARS = 240
+"""Longest reason of a rollback, which is sent in datagrams."""
 COMPLETION_VALID_S = 1.0
-"""Age up to which the decision that a move is done may still be recorded."""
+"""Age up to which the decision to complete a rollout may still be recorded."""
 
 
 class UpdateDisseminator(t.Protocol):
-    """What tells other nodes of changed state."""
+    """Disseminates changed state to other nodes."""
 
     def disseminate_now(self) -> None:
-        """Tell a few nodes now."""
+        """Send the latest updates to a few nodes now."""
 
 
 class EvidenceLinks(t.Protocol):
-    """The part of the links between nodes that evidence needs."""
+    """The links between nodes, as far as evidence reports use them."""
 
     def handle(self, request: str, handler: t.Any) -> None:
-        """Serve one kind of message."""
+        """Register the handler of one kind of message."""
 
     async def send(self, endpoint: tuple[str, int], **body: t.Any) -> None:
-        """Send a message without an answer."""
+        """Send a message that gets no response."""
 
 
 class TimerService(t.Protocol):
-    """What calls back periodically."""
+    """Runs callbacks periodically."""
 
     def subscribe(self, name: str, period_s: float, callback: Callback) -> object:
-        """Call back about every ``period_s`` seconds."""
+        """Run a callback about every ``period_s`` seconds."""
 
 
 class RolloutDriver:
-    """This node's part in moves of the service that its own target belongs to."""
+    """This node's part in the rollouts of the service that its own target belongs to.
+
+    :param gossip: disseminates changes of the rollouts' shared state.
+    :param recorder: appends records to the log.
+    :param count_bytes: receives the direction, kind and size of what is sent.
+    """
 
     def __init__(
         self,
@@ -108,7 +115,7 @@
         timers.subscribe("moves", TICK_S, self.tick)
 
     def observe(self, call: Call, failed: bool, seconds: float) -> None:
-        """Count a call that this node's own target finished."""
+        """Add a call that this node's own target finished in ``seconds`` to the evidence."""
         warming = self._warm_up.count_call(self._clock.monotonic())
         rollout = self._version_filter.active_rollout_by_service.get(call.service)
         if rollout is not None:
@@ -116,13 +123,13 @@
             local.observe(call.version, call.route, failed, seconds, warming)
 
     def is_forbidden(self, service: str, version: str) -> bool:
-        """Tell whether a version may get no new calls on this node's target."""
+        """Return whether new calls of a version are forbidden on this node's target."""
         return self._version_filter.is_forbidden(
             service, version, self._shared_rollouts.is_rolled_back, self._clock.monotonic()
         )
 
     async def tick(self) -> None:
-        """Judge, report and pace the move of the own target's service, if there is one."""
+        """Analyse, advance and report the rollout of the own target's service, if one is active."""
         now_s = self._clock.monotonic()
         self._freshness.detect_pause(now_s)
         self._update_warm_up()
@@ -134,7 +141,7 @@
             return
         members = self._service_members(rollout)
         if all(m.node_id != self._table.own_id for m in members):
-            # This node is leaving.
+            # The table no longer lists this node as live: it is leaving.
             return
         self._decide(rollout, members, now_s)
         self.reporter.send_if_due(rollout, members, now_s)
@@ -148,7 +155,7 @@
         self._warm_up.set_version(target.version if target is not None and ready else None)
 
     def potential_writer_count(self) -> int:
-        """Return how many live nodes may have records of a move to append now."""
+        """Return how many live nodes may have records of a rollout to append now."""
         services = self._version_filter.active_rollout_by_service.keys()
         targets = (member.target for member in self._table.live_members())
         return sum(1 for target in targets if target is not None and target.service in services)
@@ -192,7 +199,10 @@
     def _hold_if_not_safe(
         self, rollout: Rollout, share: int, decision: StepDecision, now_s: float
     ) -> StepDecision:
-        """Hold a step that lacks a ready target or fresh evidence; a take-back never waits."""
+        """Return the decision, or one that keeps the traffic share if raising it isn't safe.
+
+        A step needs a ready target and fresh evidence; a rollback never waits for them.
+        """
         if decision.roll_back or (not decision.completed and decision.share_permille <= share):
             return decision
         if not self._table.ready_targets(rollout.service, rollout.to_version):
@@ -230,22 +240,27 @@
             )
         if decision.share_permille <= share:
             return
-        logger.info("move {} goes to {}%", rollout.move_id, decision.share_permille / 10)
+        logger.info(
+            "rollout {}: traffic share raised to {}%",
+            rollout.move_id,
+            decision.share_permille / 10,
+        )
         self._shared_rollouts.merge(SharedRollout(rollout.offset, decision.share_permille))
         self._gossip.disseminate_now()
         self._records.record_step(rollout, decision.share_permille, decision.rule, result.evidence)
 
     def _is_completion_valid(self, offset: int) -> bool:
-        # With the log down, a fault may show after the decision; a stale one must not win then.
+        # While the log is down, a fault may be found after the decision; a stale decision must
+        # not be recorded then.
         if self._shared_rollouts.is_rolled_back(offset):
             return False
         decided_at = self._completion_decided_at.get(offset)
         return decided_at is not None and self._clock.monotonic() - decided_at < COMPLETION_VALID_S
 
     def _roll_back(self, rollout: Rollout, reason: str) -> None:
-        # The reason goes into datagrams, and a route's name may be long.
+        # A reason may contain the name of a route, whose length isn't bounded.
         reason = reason[:MAX_REASON_CHARS]
-        logger.warning("move {} is taken back: {}", rollout.move_id, reason)
+        logger.warning("rollout {} is rolled back: {}", rollout.move_id, reason)
         share = self._shared_rollouts.share_permille(rollout.offset)
         own_id = self._table.own_id
         self._shared_rollouts.merge(SharedRollout(rollout.offset, share, True, reason, own_id))
@@ -254,7 +269,7 @@
     def _record_rollback(self, rollout: Rollout, ranked: list[str], now_s: float) -> None:
         seen_at = self._rollback_seen_at.get(rollout.offset)
         if seen_at is None:
-            # The wait differs between nodes, so that most find the record on the log already.
+            # A random delay, so that most nodes find the record on the log before they append.
             seen_at = now_s + self._rng.uniform(0, RECORD_TIMEOUT_S)
             self._rollback_seen_at[rollout.offset] = seen_at
         if (
@@ -288,7 +303,7 @@
                 continue
             if self._shared_rollouts.is_rolled_back(rollout.offset):
                 logger.error(
-                    "move {} was done on the log before its take-back; move {} back to {}",
+                    "rollout {} was completed before its rollback; start a rollout of {} to {}",
                     rollout.move_id,
                     rollout.service,
                     rollout.from_version,
--- a/src/bulrushflow/nodes/rollout_records.py
+++ b/src/bulrushflow/nodes/rollout_records.py
@@ -1,7 +1,7 @@
-"""The records by which the nodes account for a move on the log.
+"""The records that nodes append to the log for a rollout's steps and its end.
 
-Publish ids depend on the move and the event alone, so two nodes that record the same event, or one
-that retries, add one entry to the account.
+Publish ids depend on the rollout and the event alone, so an event that two nodes record, or that
+one node retries, takes effect once.
 """
 
 import typing as t
@@ -16,14 +16,14 @@
 
 
 class Submitter(t.Protocol):
-    """What brings records to the log."""
+    """Appends records to the log."""
 
     def submit(self, record: Record, is_current: t.Callable[[], bool] | None = None) -> None:
-        """Have a record appended, as long as it is current."""
+        """Queue a record for appending, which is dropped once ``is_current`` returns false."""
 
 
 class RolloutRecords:
-    """Submits a move's steps and final records."""
+    """Submits the records of a rollout's steps and end."""
 
     __slots__ = ("_own_id", "_recorder")
 
@@ -32,17 +32,17 @@
         self._own_id = own_id
 
     def record_step(self, rollout: Rollout, share_permille: int, rule: str, evidence: str) -> None:
-        """Record that the share was raised."""
+        """Record that the traffic share was raised."""
         self._step(rollout, f"step/{share_permille}", share_permille, rule, evidence)
 
     def record_at_risk(
         self, rollout: Rollout, share_permille: int, reason: str, evidence: str
     ) -> None:
-        """Record, once a move, that its deadline may not be met safely."""
+        """Record, once per rollout, that its deadline may not be met safely."""
         self._step(rollout, "at-risk", share_permille, f"at risk: {reason}", evidence)
 
     def record_rollback(self, rollout: Rollout, state: SharedRollout) -> None:
-        """Record the take-back that the nodes agreed on; its reason holds the figures."""
+        """Record a rollback; its reason contains the figures of the evidence."""
         self._recorder.submit(
             FinishRollout(
                 RECORD_SCHEMA,
@@ -58,7 +58,7 @@
     def record_completion(
         self, rollout: Rollout, rule: str, evidence: str, is_current: t.Callable[[], bool]
     ) -> None:
-        """Record that the move is done, as long as ``is_current`` says that it still is."""
+        """Record that the rollout is completed, unless ``is_current`` returns false first."""
         record = FinishRollout(
             RECORD_SCHEMA,
             f"{rollout.move_id}/done",
