--- a/tests/nodes/mesh.py
+++ b/tests/nodes/mesh.py
@@ -1,4 +1,4 @@
-"""A few nodes' move drivers in one process, joined by fakes whose links can be cut."""
+"""The rollout drivers of a few nodes in one process, over fake links that tests can cut."""
 
 import asyncio
 import random
@@ -34,7 +34,7 @@
 
 
 class FakeClock:
-    """A clock that tests move on."""
+    """A clock that :meth:`Mesh.run` advances."""
 
     def __init__(self) -> None:
         self.now_s = 1000.0
@@ -47,7 +47,7 @@
 
 
 class FakeNode:
-    """One node's driver, store, shared state, and fakes for all that it talks to."""
+    """One node's driver, configuration store and shared state; fakes the driver's collaborators."""
 
     def __init__(self, mesh: "Mesh", node_id: str, version: str, port: int) -> None:
         self.mesh = mesh
@@ -95,7 +95,7 @@
 
 
 class Mesh:
-    """Nodes beside targets of both versions, a log that can be down, and calls by share."""
+    """Nodes with targets of both versions, a log that can be down, and calls by traffic share."""
 
     def __init__(self, old_nodes: int = 3, new_nodes: int = 2) -> None:
         self.clock = FakeClock()
@@ -116,21 +116,21 @@
 
     @property
     def driver(self) -> FakeNode:
-        """The node that drives the move while all are alive."""
+        """The node that drives the rollout while all are live."""
         first = rank_members([node.table.own for node in self.nodes], f"move/{ROLLOUT_OFFSET}")[0]
         return next(node for node in self.nodes if node.table.own_id == first.node_id)
 
     @property
     def configuration(self) -> Configuration:
-        """What the log says."""
+        """The latest configuration of any node."""
         return max((n.store.current for n in self.nodes), key=lambda c: c.offset)
 
     def traffic_share(self) -> int:
-        """Return the highest share that any node serves."""
+        """Return the highest traffic share on any node, in permille."""
         return max(node.shared_rollouts.share_permille(ROLLOUT_OFFSET) for node in self.nodes)
 
     def append(self, record: Record) -> None:
-        """Put a record on the log and bring it to every node that runs."""
+        """Append a record to the log and deliver it to all nodes that aren't paused."""
         body = encode_record(record)
         self.records.append(LogRecord(len(self.records), self.clock.wall_ms(), body))
         self._deliver_log()
@@ -147,7 +147,7 @@
                     node.shared_rollouts.merge(state)
 
     async def run(self, seconds: float) -> None:
-        """Let calls, ticks, messages and the log go on for so long."""
+        """Simulate calls, ticks, messages and the log for a time on the fake clock."""
         for _ in range(int(seconds / TICK_S)):
             self.clock.now_s += TICK_S
             self._deliver_log()
@@ -161,7 +161,7 @@
                 await node.tick()
             for node in self.nodes:
                 self.disseminate(node)
-            # Sends run as tasks of the loop.
+            # Sent reports are delivered by tasks of the event loop.
             await _settle()
             self._append_submitted()
 
@@ -169,7 +169,7 @@
         old = [node for node in self.nodes if node.version == OLD]
         new = [node for node in self.nodes if node.version == NEW]
         for i in range(CALLS_PER_TICK):
-            # A fixed pattern instead of chance: every run is the same.
+            # A fixed pattern instead of random choices, so that every run is the same.
             to_new = (i * 389 + int(self.clock.now_s / TICK_S) * 97) % 1000 < self.traffic_share()
             node = (new if to_new else old)[i % len(new if to_new else old)]
             version = NEW if to_new else OLD
--- a/tests/nodes/test_evidence_reporting.py
+++ b/tests/nodes/test_evidence_reporting.py
@@ -1,4 +1,4 @@
-"""Tests of the bounds on evidence reports, of their encoding, and of the age of evidence."""
+"""Tests of evidence reports: their bounds, their encoding and the age of evidence."""
 
 import asyncio
 import typing as t
@@ -29,7 +29,7 @@
 
 
 class StuckSender:
-    """Never finishes a send to one node."""
+    """Records the ports sent to; sends to one of them never finish."""
 
     def __init__(self, stuck_port: int) -> None:
         self.ports: list[int] = []
@@ -42,7 +42,7 @@
 
 
 class EvidenceReporterTests(unittest.IsolatedAsyncioTestCase):
-    def test_reports_keep_to_the_budget_down_to_the_fewest_receivers(self) -> None:
+    def test_report_limits_stay_within_the_budget_or_at_the_longest_period(self) -> None:
         for size in (50, 500, 2000, 5000, 100_000):
             with self.subTest(size):
                 period_s, receivers = report_limits(size)
@@ -51,12 +51,12 @@
                 longest = (MAX_LARGE_REPORT_PERIOD_S, MIN_RECEIVERS)
                 self.assertTrue(within or (period_s, receivers) == longest)
 
-    def test_the_longest_period_keeps_evidence_fresh(self) -> None:
+    def test_evidence_stays_fresh_over_the_longest_period(self) -> None:
         self.assertLess(
             max(MAX_LARGE_REPORT_PERIOD_S, UNCHANGED_REPORT_PERIOD_S) + TICK_S, MAX_EVIDENCE_AGE_S
         )
 
-    async def test_an_unreachable_receiver_holds_up_no_other(self) -> None:
+    async def test_an_unreachable_receiver_does_not_delay_the_others(self) -> None:
         evidence_store = EvidenceStore("n0", 1)
         evidence_store.local(7).observe("v2", "/dues", False, 0.01)
         sender = StuckSender(0)
@@ -79,7 +79,7 @@
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
 
-    async def test_unchanged_evidence_is_repeated_seldom(self) -> None:
+    async def test_unchanged_evidence_is_sent_at_a_longer_period(self) -> None:
         sender = StuckSender(0)
         reporter = EvidenceReporter(EvidenceStore("n0", 1), "n0", sender)
         for i in range(40):
@@ -90,7 +90,9 @@
 
     @settings(max_examples=30)
     @given(st.lists(st.tuples(st.sampled_from(("/a", "/b")), st.booleans(), st.floats(0, 99))))
-    def test_a_report_keeps_its_counts(self, calls: list[tuple[str, bool, float]]) -> None:
+    def test_evidence_survives_an_encoding_round_trip(
+        self, calls: list[tuple[str, bool, float]]
+    ) -> None:
         evidence = Evidence(7, "n1", incarnation=5)
         for route, failed, latency_s in calls:
             evidence.observe("v2", route, failed, latency_s)
@@ -98,7 +100,7 @@
         decoded = messages.decode(messages.EvidenceReport, data).unwrap()
         self.assertEqual(codec.evidence_from_message(decoded), evidence)
 
-    def test_a_report_with_an_unknown_bucket_is_passed_over(self) -> None:
+    def test_a_report_with_an_unknown_latency_bucket_is_skipped(self) -> None:
         evidence_store = EvidenceStore("n0", 1)
         route = messages.RouteEvidence(
             version="v2", route="/a", calls=1, errors=0, sparse_buckets=[99, 1]
--- a/tests/nodes/test_forwarding.py
+++ b/tests/nodes/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Tests of calls passed between two nodes, over loopback."""
+"""Tests of calls forwarded between two nodes over loopback."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 class FakeRunner:
-    """The other node's target."""
+    """Stands in for admission control of the other node's target."""
 
     load = 3
     capacity = 7
@@ -34,7 +34,7 @@
         ).as_result()
 
     async def run(self, call: Call) -> CallResult:
-        """See :class:`AdmissionController`."""
+        """See :meth:`CallRunner.run`."""
         self.calls.append(call)
         if self.result is not None:
             return self.result
@@ -61,16 +61,16 @@
         self.other = links[1]
         self.member = Member("other", "near", "127.0.0.1", links[1].port, 0)
 
-    async def test_calls_answers_and_loads_arrive_unchanged(self) -> None:
+    async def test_calls_responses_and_loads_arrive_unchanged(self) -> None:
         sent = call(attempt=2)
         result, report = await self.forwarding.send(self.member, sent)
         self.assertEqual(result, self.runner.result)
         assert report is not None
         self.assertEqual((report.load, report.capacity), (3, 7))
-        (arrived,) = self.runner.calls
-        self.assertEqual(arrived.attempt, 2)
-        self.assertLess(arrived.deadline, sent.deadline)
-        self.assertGreater(arrived.deadline, sent.deadline - MAX_RESPONSE_MARGIN_S - 1.0)
+        (received,) = self.runner.calls
+        self.assertEqual(received.attempt, 2)
+        self.assertLess(received.deadline, sent.deadline)
+        self.assertGreater(received.deadline, sent.deadline - MAX_RESPONSE_MARGIN_S - 1.0)
 
     async def test_failures_keep_their_outcome(self) -> None:
         for expected in (not_run("full"), answer_lost("large")):
@@ -78,19 +78,19 @@
                 self.runner.result = expected
                 self.assertEqual((await self.forwarding.send(self.member, call()))[0], expected)
 
-    async def test_an_outcome_of_a_later_release_counts_as_unknown(self) -> None:
+    async def test_an_outcome_that_this_release_does_not_know_counts_as_unknown(self) -> None:
         message = codec.result_to_message(not_run("x"), 0, 0)
         message.outcome = 99
         self.assertIs(codec.result_from_message(message).unwrap_err().outcome, Outcome.UNKNOWN)
 
-    async def test_a_caller_that_leaves_cancels_the_call_on_the_other_node(self) -> None:
+    async def test_cancelling_a_send_cancels_the_call_on_the_other_node(self) -> None:
         self.runner.result = None
         sending = asyncio.create_task(self.forwarding.send(self.member, call()))
         await until(lambda: len(self.runner.calls) == 1)
         sending.cancel()
         await until(lambda: self.runner.cancelled == 1)
 
-    async def test_a_node_lost_with_the_call_leaves_its_outcome_unknown(self) -> None:
+    async def test_a_connection_lost_during_a_call_leaves_its_outcome_unknown(self) -> None:
         self.runner.result = None
         sending = asyncio.create_task(self.forwarding.send(self.member, call()))
         await until(lambda: len(self.runner.calls) == 1)
@@ -101,7 +101,7 @@
         self.assertIsNone(report)
         await until(lambda: self.runner.cancelled == 1)
 
-    async def test_a_node_that_is_gone_did_not_run_the_call(self) -> None:
+    async def test_a_call_to_a_stopped_node_was_not_run(self) -> None:
         await self.other.stop()
         result, _ = await self.forwarding.send(self.member, call())
         self.assertIs(result.unwrap_err().outcome, Outcome.NOT_RUN)
--- a/tests/nodes/test_log_reader.py
+++ b/tests/nodes/test_log_reader.py
@@ -18,7 +18,7 @@
 
 
 class Owner:
-    """Applies what the reader reads, and counts what it reports."""
+    """Applies the records that the reader reads, and counts its reports."""
 
     def __init__(self, store: ConfigurationStore) -> None:
         self.checking = True
@@ -58,19 +58,19 @@
         task = asyncio.create_task(self.reader.run())
         self.addCleanup(task.cancel)
 
-    async def test_a_long_log_is_entered_by_its_newest_snapshot(self) -> None:
+    async def test_reading_a_long_log_starts_from_its_newest_snapshot(self) -> None:
         log = log_with_snapshots(4, 15)
         self.start(log)
         await until(lambda: self.store.current.offset == 19)
         self.assertIsNone(self.store.records_from(14))
         self.assertIsNotNone(self.store.records_from(15))
 
-    async def test_a_long_log_without_a_snapshot_is_read_whole(self) -> None:
+    async def test_a_long_log_without_a_snapshot_is_read_from_its_start(self) -> None:
         self.start(MemoryLog([change(i) for i in range(20)]))
         await until(lambda: self.store.current.offset == 19)
         self.assertIsNotNone(self.store.records_from(0))
 
-    async def test_a_missing_offset_is_a_failure_and_not_skipped(self) -> None:
+    async def test_a_missing_offset_is_retried_as_a_failure_and_not_skipped(self) -> None:
         log = MemoryLog([change(i) for i in range(5)])
         del log.records[2]
         self.start(log)
@@ -78,7 +78,7 @@
         self.assertEqual(self.store.current.offset, 1)
         self.assertLess(log.reads, 20)
 
-    async def test_a_log_below_the_version_held_is_reported_and_polled_slowly(self) -> None:
+    async def test_a_log_below_the_current_version_is_reported_and_polled_slowly(self) -> None:
         store = ConfigurationStore()
         store.apply(MemoryLog([change(i) for i in range(5)]).records)
         log = MemoryLog([change(7)])
@@ -88,7 +88,7 @@
             await asyncio.sleep(0.05)
         self.assertEqual((store.current.offset, log.reads), (4, 1))
 
-    async def test_failures_end_with_the_outage(self) -> None:
+    async def test_the_count_of_failures_is_reset_after_an_outage(self) -> None:
         log = MemoryLog([change(0)])
         log.down = True
         self.start(log)
--- a/tests/nodes/test_rollout_driver.py
+++ b/tests/nodes/test_rollout_driver.py
@@ -1,4 +1,4 @@
-"""Tests of moves driven by several nodes, with the faults that they must stand."""
+"""Tests of rollouts driven by several nodes, with faults of the log, the driver and the links."""
 
 import typing as t
 import unittest
@@ -52,7 +52,7 @@
         while mesh.traffic_share() < 100:
             await mesh.run(0.25)
 
-    async def test_a_good_version_is_done_in_time_with_its_account(self) -> None:
+    async def test_a_healthy_version_completes_in_time_with_recorded_steps(self) -> None:
         mesh = Mesh()
         await mesh.run(ROLLOUT_DURATION_S)
         rollout = self.rollout(mesh)
@@ -62,7 +62,7 @@
         self.assertEqual(shares, sorted(set(shares)))
         self.assertTrue(all(step.rule and step.evidence for step in rollout.steps))
 
-    async def test_only_the_nodes_of_moving_services_count_as_writers(self) -> None:
+    async def test_only_nodes_of_services_with_a_rollout_are_potential_writers(self) -> None:
         mesh = Mesh()
         driver = mesh.nodes[0].driver
         for i in range(500):
@@ -74,9 +74,7 @@
         await mesh.run(ROLLOUT_DURATION_S)
         self.assertEqual(driver.potential_writer_count(), 0)
 
-    async def test_a_bad_version_gets_no_calls_soon_after_its_fault_whatever_else_fails(
-        self,
-    ) -> None:
+    async def test_a_faulty_version_soon_gets_no_calls_under_other_faults(self) -> None:
         cases: dict[str, Fault] = {
             "nothing": no_fault,
             "log down": log_down,
@@ -100,7 +98,7 @@
                 self.assertIs(self.rollout(mesh).status, RolloutStatus.ROLLED_BACK)
                 self.assertIn("errors", self.rollout(mesh).reason)
 
-    async def test_a_driver_that_wakes_raises_nothing_on_old_evidence(self) -> None:
+    async def test_a_resumed_driver_does_not_raise_the_share_on_stale_evidence(self) -> None:
         mesh = Mesh()
         await self.run_until_ten_percent(mesh)
         driver = mesh.driver
@@ -116,14 +114,14 @@
         await mesh.run(3)
         self.assertGreater(mesh.traffic_share(), share)
 
-    async def test_another_node_drives_on_after_the_driver_died(self) -> None:
+    async def test_another_node_completes_the_rollout_after_the_driver_died(self) -> None:
         mesh = Mesh()
         await self.run_until_ten_percent(mesh)
         driver_dead(mesh)
         await mesh.run(ROLLOUT_DURATION_S)
         self.assertIs(self.rollout(mesh).status, RolloutStatus.COMPLETED)
 
-    async def test_two_drivers_at_once_leave_one_account(self) -> None:
+    async def test_two_concurrent_drivers_record_each_step_once(self) -> None:
         mesh = Mesh()
         second = mesh.nodes[0] if mesh.nodes[0] is not mesh.driver else mesh.nodes[1]
         second.table.raise_status(mesh.driver.table.own_id, Status.DEAD, 0.0)
@@ -133,7 +131,7 @@
         shares = [step.share_permille for step in rollout.steps]
         self.assertEqual(len(shares), len(set(shares)))
 
-    async def test_a_done_that_the_log_did_not_take_does_not_outlive_a_later_fault(self) -> None:
+    async def test_a_completion_that_was_not_logged_is_dropped_after_a_fault(self) -> None:
         mesh = Mesh()
         mesh.log_down = True
         while "m/done" not in mesh.driver.submitted:
@@ -141,13 +139,13 @@
         mesh.new_version_fails = True
         await mesh.run(10)
         mesh.log_down = False
-        # The log takes the driver's records first, and of those the oldest first.
+        # The driver's records are appended first, the oldest of them first.
         driver = mesh.driver
         mesh.nodes.sort(key=lambda node: node is not driver)
         await mesh.run(10)
         self.assertIs(self.rollout(mesh).status, RolloutStatus.ROLLED_BACK)
 
-    async def test_a_move_without_ready_targets_is_told_early_and_taken_back(self) -> None:
+    async def test_a_rollout_without_ready_targets_is_at_risk_and_rolled_back(self) -> None:
         mesh = Mesh(new_nodes=0)
         await mesh.run(ROLLOUT_DURATION_S / 2)
         step = self.rollout(mesh).steps[0]
@@ -156,7 +154,7 @@
         self.assertIs(self.rollout(mesh).status, RolloutStatus.ROLLED_BACK)
         self.assertIn("deadline", self.rollout(mesh).reason)
 
-    async def test_missing_evidence_is_told_before_the_deadline(self) -> None:
+    async def test_missing_evidence_is_recorded_as_a_risk_before_the_deadline(self) -> None:
         mesh = Mesh()
         new = [n for n in mesh.nodes if n.version == NEW and n is not mesh.driver]
         new[0].cut_off = True
@@ -164,7 +162,7 @@
         rules = [step.rule for step in self.rollout(mesh).steps]
         self.assertIn(f"at risk: no fresh evidence from {new[0].table.own_id}", rules)
 
-    async def test_a_withdrawn_version_gets_no_calls_though_a_driver_lags(self) -> None:
+    async def test_a_withdrawn_version_gets_no_calls_while_the_driver_is_paused(self) -> None:
         mesh = Mesh()
         await self.run_until_ten_percent(mesh)
         mesh.driver.paused = True
@@ -176,7 +174,7 @@
         self.assertEqual(mesh.new_calls, calls)
         self.assertIs(self.rollout(mesh).status, RolloutStatus.WITHDRAWN)
 
-    async def test_one_unreachable_receiver_does_not_hold_up_the_others(self) -> None:
+    async def test_an_unreachable_receiver_does_not_delay_reports_to_the_driver(self) -> None:
         mesh = Mesh()
         mesh.nodes[1].cut_off = True
         await mesh.run(5)
@@ -187,7 +185,7 @@
             )
             self.assertIsNotNone(reported_at)
 
-    async def test_after_done_the_old_version_is_refused_only_after_a_while(self) -> None:
+    async def test_after_completion_the_old_version_is_forbidden_only_after_a_delay(self) -> None:
         mesh = Mesh()
         while self.rollout(mesh).status is RolloutStatus.ACTIVE:
             await mesh.run(0.25)
