--- a/src/bulrushflow/recording/http.py
+++ b/src/bulrushflow/recording/http.py
@@ -32,23 +32,23 @@
 
     async def append(self, stream: str, body: bytes) -> Result[int, LogError]:
         """See :meth:`Log.append`."""
-        answer = await self._request("POST", f"/streams/{stream}", data=body)
-        return answer.and_then(_offset)
+        response = await self._request("POST", f"/streams/{stream}", data=body)
+        return response.and_then(_offset)
 
     async def read(
         self, stream: str, from_offset: int, wait_s: float = 0.0
     ) -> Result[LogPage, LogError]:
         """See :meth:`Log.read`."""
         params = {"from": str(from_offset), "wait_ms": str(int(wait_s * 1000))}
-        answer = await self._request(
+        response = await self._request(
             "GET", f"/streams/{stream}", params=params, extra_timeout_s=wait_s
         )
-        return answer.and_then(_page)
+        return response.and_then(_page)
 
     async def tail(self, stream: str, count: int) -> Result[LogPage, LogError]:
         """See :meth:`Log.tail`."""
-        answer = await self._request("GET", f"/streams/{stream}", params={"tail": str(count)})
-        return answer.and_then(_page)
+        response = await self._request("GET", f"/streams/{stream}", params={"tail": str(count)})
+        return response.and_then(_page)
 
     async def _request(
         self, method: str, path: str, extra_timeout_s: float = 0.0, **options: t.Any
--- a/src/bulrushflow/recording/recorder.py
+++ b/src/bulrushflow/recording/recorder.py
@@ -19,7 +19,7 @@
 FLEET_APPENDS_PER_S = 200.0
 """Appends by all nodes together, below what the log takes."""
 MAX_BACKOFF_S = 5.0
-MAX_WAITING = 256
+MAX_PENDING_RECORDS = 256
 
 
 class Recorder(BackgroundService):
@@ -46,8 +46,8 @@
         self._store = store
         self._rate_per_s = rate_per_s
         self._rng = rng
-        self._writers = writer_count
-        self._waiting_by_id: dict[str, Record] = {}
+        self._writer_count = writer_count
+        self._pending_by_id: dict[str, Record] = {}
         self._is_current_by_id: dict[str, t.Callable[[], bool]] = {}
         self._wake = asyncio.Event()
 
@@ -56,39 +56,39 @@
 
         :param is_current: asked before each append; the record is dropped once it says no.
         """
-        if record.publish_id in self._waiting_by_id or self._is_known(record):
+        if record.publish_id in self._pending_by_id or self._is_known(record):
             return
-        if len(self._waiting_by_id) >= MAX_WAITING:
-            logger.error("record {} dropped: {} wait", record.publish_id, MAX_WAITING)
+        if len(self._pending_by_id) >= MAX_PENDING_RECORDS:
+            logger.error("record {} dropped: {} wait", record.publish_id, MAX_PENDING_RECORDS)
             return
-        self._waiting_by_id[record.publish_id] = record
+        self._pending_by_id[record.publish_id] = record
         if is_current is not None:
             self._is_current_by_id[record.publish_id] = is_current
         self._wake.set()
 
     def pending_records(self) -> list[Record]:
         """Return the records that the log is not known to have."""
-        self._drop_obsolete()
-        return list(self._waiting_by_id.values())
+        self._discard_obsolete()
+        return list(self._pending_by_id.values())
 
     def spacing_s(self) -> float:
         """Return the seconds between two appends of this node."""
-        return max(1 / self._rate_per_s, self._writers() / FLEET_APPENDS_PER_S)
+        return max(1 / self._rate_per_s, self._writer_count() / FLEET_APPENDS_PER_S)
 
     def _is_known(self, record: Record) -> bool:
         return record.publish_id in self._store.current.verdicts_by_publish_id
 
-    def _drop_obsolete(self) -> None:
-        for record in list(self._waiting_by_id.values()):
+    def _discard_obsolete(self) -> None:
+        for record in list(self._pending_by_id.values()):
             if self._is_known(record) or not self._is_current(record):
-                self._drop(record)
+                self._discard(record)
 
     def _is_current(self, record: Record) -> bool:
         is_current = self._is_current_by_id.get(record.publish_id)
         return is_current is None or is_current()
 
-    def _drop(self, record: Record) -> None:
-        self._waiting_by_id.pop(record.publish_id, None)
+    def _discard(self, record: Record) -> None:
+        self._pending_by_id.pop(record.publish_id, None)
         self._is_current_by_id.pop(record.publish_id, None)
 
     async def run(self) -> None:
@@ -96,19 +96,19 @@
         while True:
             await self._wake.wait()
             await asyncio.sleep(self._rng.uniform(0, self.spacing_s()))
-            await self._append_waiting()
+            await self._append_pending()
             self._wake.clear()
 
-    async def _append_waiting(self) -> None:
+    async def _append_pending(self) -> None:
         failures = 0
         while True:
             # Another node's append, or an own one whose answer was lost, shows in the store.
-            self._drop_obsolete()
-            record = next(iter(self._waiting_by_id.values()), None)
+            self._discard_obsolete()
+            record = next(iter(self._pending_by_id.values()), None)
             if record is None:
                 return
             if await self._append(record):
-                self._drop(record)
+                self._discard(record)
                 failures = 0
             else:
                 failures += 1
--- a/src/bulrushflow/recording/recovery.py
+++ b/src/bulrushflow/recording/recovery.py
@@ -29,9 +29,9 @@
 
 
 async def recover_from_snapshot(
-    log: Log, held_offset: int, first_offset: int, span: int
+    log: Log, current_offset: int, first_offset: int, span: int
 ) -> Result[Recovery, str]:
-    """Return the newest usable snapshot above ``held_offset`` with the records that follow it.
+    """Return the newest usable snapshot above ``current_offset`` with the records that follow it.
 
     :param first_offset: oldest offset that the log keeps.
     :param span: how many of the newest records are searched first.
@@ -48,14 +48,14 @@
                 return Err(error.message)
             case Ok(records):
                 pass
-        configuration = _newest(records, start, held_offset)
+        configuration = _newest_usable(records, start, current_offset)
         if configuration is not None:
             rest = tuple(r for r in records if r.offset > configuration.offset)
             return Ok(Recovery(configuration, rest))
         if start == first_offset:
             return Err(
                 f"the log holds offsets {first_offset} to {end - 1} and no usable snapshot "
-                f"above version {held_offset}"
+                f"above version {current_offset}"
             )
         span *= SPAN_FACTOR
 
@@ -75,10 +75,12 @@
     return Ok(records)
 
 
-def _newest(records: list[LogRecord], start: int, held_offset: int) -> Configuration | None:
+def _newest_usable(
+    records: list[LogRecord], start: int, current_offset: int
+) -> Configuration | None:
     for record in reversed(records):
         snapshot = _as_snapshot(record)
-        if snapshot is None or snapshot.state_offset <= held_offset:
+        if snapshot is None or snapshot.state_offset <= current_offset:
             continue
         if snapshot.state_offset + 1 < start or snapshot.state_offset >= record.offset:
             continue
--- a/src/bulrushflow/recording/snapshots.py
+++ b/src/bulrushflow/recording/snapshots.py
@@ -18,10 +18,10 @@
 from bulrushflow.timers import Clock
 from bulrushflow.timers import Timers
 
-CHECK_S = 5.0
-FIRST_WAIT_S = 30.0
+CHECK_PERIOD_S = 5.0
+FIRST_WRITERS_WAIT_S = 30.0
 """Longest random wait of a node that is among the first to write."""
-OTHERS_WAIT_S = 600.0
+OTHER_WRITERS_WAIT_S = 600.0
 """Longest random wait of the rest, who write only when the snapshot is late."""
 LATE_FACTOR = 1.5
 
@@ -31,7 +31,7 @@
 
     Any node may write: two equal snapshots change nothing.
 
-    :param is_first: tells whether this node is among the few that write before the others.
+    :param is_first_writer: tells whether this node is among the few that write before the others.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         timers: Timers,
         clock: Clock,
         rng: random.Random,
-        is_first: t.Callable[[], bool],
+        is_first_writer: t.Callable[[], bool],
     ) -> None:
         self._log = log
         self._store = store
@@ -52,14 +52,14 @@
         )
         self._clock = clock
         self._rng = rng
-        self._is_first = is_first
-        timers.subscribe("snapshot", CHECK_S, self.check)
+        self._is_first_writer = is_first_writer
+        timers.subscribe("snapshot", CHECK_PERIOD_S, self.check)
 
     async def check(self) -> None:
         """Write a snapshot when one is due and still is after the wait."""
         if not self._is_due():
             return
-        wait_s = FIRST_WAIT_S if self._is_first() else OTHERS_WAIT_S
+        wait_s = FIRST_WRITERS_WAIT_S if self._is_first_writer() else OTHER_WRITERS_WAIT_S
         await asyncio.sleep(self._rng.uniform(0, wait_s))
         if self._is_due():
             await self.write()
@@ -74,5 +74,5 @@
                 logger.warning("appending a snapshot failed: {}", error.message)
 
     def _is_due(self) -> bool:
-        policy = self._policy if self._is_first() else self._late_policy
+        policy = self._policy if self._is_first_writer() else self._late_policy
         return is_snapshot_due(self._store.current, policy, self._clock.wall_ms())
--- a/tests/recording/contract.py
+++ b/tests/recording/contract.py
@@ -30,50 +30,50 @@
 
 
 class LogContract:
-    """Tests to mix into an ``IsolatedAsyncioTestCase`` that sets ``bench``."""
+    """Tests to mix into an ``IsolatedAsyncioTestCase`` that sets ``fixture``."""
 
-    bench: LogFixture
+    fixture: LogFixture
     appends_per_s = 20
     """Rate limit that the bench starts its log with."""
 
     async def test_offsets_count_up_and_reads_return_bytes_unchanged(self: t.Any) -> None:
         bodies = [b"", b"\x00\xff", "zadruga Vrtičkarjev".encode()]
         for offset, body in enumerate(bodies):
-            self.assertEqual((await self.bench.log.append(STREAM, body)).unwrap(), offset)
-        page = (await self.bench.log.read(STREAM, 1)).unwrap()
+            self.assertEqual((await self.fixture.log.append(STREAM, body)).unwrap(), offset)
+        page = (await self.fixture.log.read(STREAM, 1)).unwrap()
         self.assertEqual([(r.offset, r.body) for r in page.records], list(enumerate(bodies))[1:])
         self.assertEqual(page.next_offset, 3)
-        tail = (await self.bench.log.tail(STREAM, 2)).unwrap()
+        tail = (await self.fixture.log.tail(STREAM, 2)).unwrap()
         self.assertEqual([r.offset for r in tail.records], [1, 2])
 
     async def test_streams_are_apart_and_an_empty_one_reads_empty(self: t.Any) -> None:
-        await self.bench.log.append(STREAM, b"x")
-        for read in (self.bench.log.read("other", 0), self.bench.log.tail("other", 5)):
+        await self.fixture.log.append(STREAM, b"x")
+        for read in (self.fixture.log.read("other", 0), self.fixture.log.tail("other", 5)):
             page = (await read).unwrap()
             self.assertEqual((page.records, page.next_offset), ((), 0))
 
     async def test_a_waiting_read_returns_with_the_next_append(self: t.Any) -> None:
-        reading = asyncio.create_task(self.bench.log.read(STREAM, 0, wait_s=60.0))
+        reading = asyncio.create_task(self.fixture.log.read(STREAM, 0, wait_s=60.0))
         await asyncio.sleep(0)
-        await self.bench.log.append(STREAM, b"x")
+        await self.fixture.log.append(STREAM, b"x")
         page = (await asyncio.wait_for(reading, 30)).unwrap()
         self.assertEqual([r.body for r in page.records], [b"x"])
 
     async def test_a_read_beyond_the_end_shows_the_lower_next_offset(self: t.Any) -> None:
-        await self.bench.log.append(STREAM, b"x")
-        page = (await self.bench.log.read(STREAM, 7)).unwrap()
+        await self.fixture.log.append(STREAM, b"x")
+        page = (await self.fixture.log.read(STREAM, 7)).unwrap()
         self.assertEqual((page.records, page.next_offset), ((), 1))
 
     async def test_trimmed_offsets_are_told_with_the_first_kept(self: t.Any) -> None:
-        for trim in (self.bench.trim(2), self.bench.trim_older(0)):
+        for trim in (self.fixture.trim(2), self.fixture.trim_older(0)):
             for _ in range(3):
-                (await self.bench.log.append(STREAM, b"x")).unwrap()
+                (await self.fixture.log.append(STREAM, b"x")).unwrap()
             await asyncio.sleep(0.005)
             await trim
             with self.subTest(trim=trim.__name__):
-                error = (await self.bench.log.read(STREAM, 0)).unwrap_err()
+                error = (await self.fixture.log.read(STREAM, 0)).unwrap_err()
                 self.assertEqual(error.kind, LogErrorKind.TRIMMED)
-                kept = (await self.bench.log.read(STREAM, error.first_offset)).unwrap()
+                kept = (await self.fixture.log.read(STREAM, error.first_offset)).unwrap()
                 self.assertEqual(kept.next_offset, error.first_offset + len(kept.records))
 
     async def test_faults_show_as_errors_and_only_a_lost_answer_takes_effect(self: t.Any) -> None:
@@ -84,20 +84,20 @@
         }
         for name, (faults, effect) in cases.items():
             with self.subTest(name):
-                before = (await self.bench.log.tail(STREAM, 1)).unwrap().next_offset
-                await self.bench.set_faults(**faults)
-                error = (await self.bench.log.append(STREAM, b"x")).unwrap_err()
+                before = (await self.fixture.log.tail(STREAM, 1)).unwrap().next_offset
+                await self.fixture.set_faults(**faults)
+                error = (await self.fixture.log.append(STREAM, b"x")).unwrap_err()
                 self.assertEqual(error.kind, LogErrorKind.UNAVAILABLE)
-                await self.bench.set_faults()
-                after = (await self.bench.log.tail(STREAM, 1)).unwrap().next_offset
+                await self.fixture.set_faults()
+                after = (await self.fixture.log.tail(STREAM, 1)).unwrap().next_offset
                 self.assertEqual(after - before, effect)
 
     async def test_appends_above_the_rate_are_refused_without_effect(self: t.Any) -> None:
         results = [
-            await self.bench.log.append(STREAM, b"x") for _ in range(10 * self.appends_per_s)
+            await self.fixture.log.append(STREAM, b"x") for _ in range(10 * self.appends_per_s)
         ]
         refused = [r.unwrap_err() for r in results if r.is_err()]
         self.assertTrue(refused)
         self.assertEqual({e.kind for e in refused}, {LogErrorKind.LIMITED})
-        page = (await self.bench.log.tail(STREAM, 1)).unwrap()
+        page = (await self.fixture.log.tail(STREAM, 1)).unwrap()
         self.assertEqual(page.next_offset, len(results) - len(refused))
--- a/tests/recording/fakes.py
+++ b/tests/recording/fakes.py
@@ -22,7 +22,7 @@
         self.errors: list[LogError] = []
         self.lost_responses = 0
         self.down = False
-        self.next_offset_shown: int | None = None
+        self.reported_next_offset: int | None = None
         self.reads = 0
         self._page_records = page_records
         self._changed = asyncio.Event()
@@ -76,5 +76,5 @@
     def _page(self, records: list[LogRecord]) -> LogPage:
         end = self.records[-1].offset + 1 if self.records else 0
         return LogPage(
-            tuple(records), end if self.next_offset_shown is None else self.next_offset_shown
+            tuple(records), end if self.reported_next_offset is None else self.reported_next_offset
         )
--- a/tests/recording/test_http.py
+++ b/tests/recording/test_http.py
@@ -52,27 +52,29 @@
 
 class HttpLogTests(LogContract, unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        bench = StandinFixture(self.appends_per_s, 1.0)
-        await bench.start()
-        self.addAsyncCleanup(bench.stop)
-        self.bench = bench
+        fixture = StandinFixture(self.appends_per_s, 1.0)
+        await fixture.start()
+        self.addAsyncCleanup(fixture.stop)
+        self.fixture = fixture
 
     async def test_answers_that_are_no_page_are_errors(self) -> None:
-        answers = {
+        bodies_by_stream = {
             "no JSON": "<html>",
             "no object": "[]",
             "no records": "{}",
             "no base64": '{"records":[{"offset":0,"appended_at_ms":1,"body":"!"}],"next_offset":1}',
         }
         app = web.Application()
-        app.router.add_route("*", "/streams/{name}", lambda r: _text(answers[r.match_info["name"]]))
+        app.router.add_route(
+            "*", "/streams/{name}", lambda r: _text(bodies_by_stream[r.match_info["name"]])
+        )
         runner = web.AppRunner(app)
         await runner.setup()
         self.addAsyncCleanup(runner.cleanup)
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         log = HttpLog(f"http://127.0.0.1:{runner.addresses[0][1]}", 5.0)
         self.addAsyncCleanup(log.close)
-        for name in answers:
+        for name in bodies_by_stream:
             with self.subTest(name):
                 for error in (await log.read(name, 0), await log.append(name, b"")):
                     self.assertEqual(error.unwrap_err().kind, LogErrorKind.UNAVAILABLE)
--- a/tests/recording/test_recovery.py
+++ b/tests/recording/test_recovery.py
@@ -59,12 +59,12 @@
             "a gap after it": (log_with_snapshots(12), 13, -1),
             "below what is held": (log_with_snapshots(12), 8, 11),
         }
-        for name, (log, first, held) in cases.items():
+        for name, (log, first, current_offset) in cases.items():
             with self.subTest(name):
                 del log.records[:first]
                 self.assertIn(
                     "no usable snapshot",
-                    (await recover_from_snapshot(log, held, first, 8)).unwrap_err(),
+                    (await recover_from_snapshot(log, current_offset, first, 8)).unwrap_err(),
                 )
 
     async def test_a_log_that_is_down_is_an_error(self) -> None:
--- a/tests/recording/test_snapshots.py
+++ b/tests/recording/test_snapshots.py
@@ -24,26 +24,28 @@
         return 1000
 
 
-@mock.patch("bulrushflow.recording.snapshots.FIRST_WAIT_S", 0.0)
-@mock.patch("bulrushflow.recording.snapshots.OTHERS_WAIT_S", 0.0)
+@mock.patch("bulrushflow.recording.snapshots.FIRST_WRITERS_WAIT_S", 0.0)
+@mock.patch("bulrushflow.recording.snapshots.OTHER_WRITERS_WAIT_S", 0.0)
 class SnapshotWriterTests(unittest.IsolatedAsyncioTestCase):
-    def writer(self, log: MemoryLog, is_first: bool) -> tuple[SnapshotWriter, ConfigurationStore]:
+    def writer(
+        self, log: MemoryLog, is_first_writer: bool
+    ) -> tuple[SnapshotWriter, ConfigurationStore]:
         store = ConfigurationStore()
         store.apply(log.records)
         timers = Timers(random.Random(1))
         policy = SnapshotPolicy(4, 10**9)
         writer = SnapshotWriter(
-            log, store, policy, timers, FixedClock(), random.Random(1), lambda: is_first
+            log, store, policy, timers, FixedClock(), random.Random(1), lambda: is_first_writer
         )
         self.addAsyncCleanup(timers.on_stop)
         return writer, store
 
     async def test_the_first_write_when_due_and_the_others_when_late(self) -> None:
         cases = {(3, True): 0, (4, True): 1, (4, False): 0, (6, False): 1}
-        for (count, is_first), written in cases.items():
-            with self.subTest(count=count, is_first=is_first):
+        for (count, is_first_writer), written in cases.items():
+            with self.subTest(count=count, is_first_writer=is_first_writer):
                 log = MemoryLog([change(i) for i in range(count)])
-                writer, store = self.writer(log, is_first)
+                writer, store = self.writer(log, is_first_writer)
                 await writer.check()
                 self.assertEqual(len(log.records) - count, written)
                 store.apply(log.records)
