--- a/src/bulrushflow/recording/__init__.py
+++ b/src/bulrushflow/recording/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log."""
+"""Access to the platform's append-only log: reading, appending, snapshots and recovery."""
 
 from bulrushflow.recording.http import HttpLog
 from bulrushflow.recording.log import CONFIGURATION_STREAM
--- a/src/bulrushflow/recording/http.py
+++ b/src/bulrushflow/recording/http.py
@@ -1,4 +1,4 @@
-"""The platform's log over HTTP."""
+"""Client of the platform's log over HTTP."""
 
 import base64
 import typing as t
@@ -16,7 +16,10 @@
 
 
 class HttpLog:
-    """Implements :class:`~bulrushflow.recording.log.Log` with an HTTP session."""
+    """Implements :class:`~bulrushflow.recording.log.Log` over HTTP.
+
+    :param timeout_s: timeout of a request; a read that waits gets its waiting time on top.
+    """
 
     __slots__ = ("_session", "_timeout_s", "_url")
 
@@ -69,7 +72,9 @@
     try:
         raw = msgspec.json.decode(body, type=dict[str, t.Any])
     except msgspec.DecodeError as exc:
-        return Err(LogError(LogErrorKind.UNAVAILABLE, f"status {status}, no JSON: {exc}"))
+        return Err(
+            LogError(LogErrorKind.UNAVAILABLE, f"status {status}, body is not a JSON object: {exc}")
+        )
     if status == 200:
         return Ok(raw)
     message = str(raw.get("error", f"status {status}"))
@@ -86,7 +91,7 @@
     try:
         return Ok(int(raw["offset"]))
     except (KeyError, TypeError, ValueError) as exc:
-        return Err(LogError(LogErrorKind.UNAVAILABLE, f"malformed answer: {exc!r}"))
+        return Err(LogError(LogErrorKind.UNAVAILABLE, f"malformed response to an append: {exc!r}"))
 
 
 def _page(raw: dict[str, t.Any]) -> Result[LogPage, LogError]:
--- a/src/bulrushflow/recording/log.py
+++ b/src/bulrushflow/recording/log.py
@@ -16,22 +16,22 @@
     """Why a request to the log failed."""
 
     UNAVAILABLE = "unavailable"
-    """Nothing was done, or it can't be known; an append may have taken effect."""
+    """The log did not confirm the request; an append may still have taken effect."""
     LIMITED = "limited"
-    """Refused for its rate; nothing was done."""
+    """Refused by the rate limit, without effect."""
     TRIMMED = "trimmed"
-    """The asked offset is no longer kept."""
+    """The requested offset is no longer kept."""
     REJECTED = "rejected"
-    """The request itself is wrong; a retry would not help."""
+    """The request is invalid; a retry would not help."""
 
 
 class LogError(msgspec.Struct, frozen=True):
-    """A failed request to the log."""
+    """The reason why a request to the log failed."""
 
     kind: LogErrorKind
     message: str
     first_offset: int = 0
-    """The oldest offset kept, with :attr:`LogErrorKind.TRIMMED`."""
+    """The oldest offset kept; set with :attr:`LogErrorKind.TRIMMED` only."""
 
 
 class LogPage(msgspec.Struct, frozen=True):
@@ -42,10 +42,13 @@
 
 
 class Log(t.Protocol):
-    """The platform's log as the system uses it."""
+    """The operations of the platform's log that nodes use."""
 
     async def append(self, stream: str, body: bytes) -> Result[int, LogError]:
-        """Append a record and return its offset."""
+        """Append a record and return its offset.
+
+        After an error of kind ``UNAVAILABLE`` the record may be on the log all the same.
+        """
 
     async def read(
         self, stream: str, from_offset: int, wait_s: float = 0.0
--- a/src/bulrushflow/recording/recorder.py
+++ b/src/bulrushflow/recording/recorder.py
@@ -1,4 +1,4 @@
-"""Appends the system's own records to the log, at a bounded rate, until each took effect."""
+"""Appends a node's own records to the log at a bounded rate, with retries."""
 
 import asyncio
 import random
@@ -17,20 +17,21 @@
 from bulrushflow.recording.log import LogErrorKind
 
 FLEET_APPENDS_PER_S = 200.0
-"""Appends by all nodes together, below what the log takes."""
+"""Bound on the appends of all nodes together, below the log's own rate limit."""
 MAX_BACKOFF_S = 5.0
 MAX_PENDING_RECORDS = 256
+"""Bound on the records that wait for being appended; further ones are dropped."""
 
 
 class Recorder(BackgroundService):
-    """Keeps records until the log has them; publish ids make a repeated append harmless.
+    """Keeps records until they are on the log; publish ids make duplicate appends harmless.
 
-    Every node waits at random for up to its spacing before the first append and a whole spacing
-    between appends, so that nodes which all have something to record at once stay below the
+    Before the first append a node waits for a random part of its spacing, and between appends for
+    a whole one. Nodes that all have records to append at the same time thus stay below the
     fleet's rate together.
 
-    :param rate_per_s: this node's own highest rate.
-    :param writers: tells how many nodes may have something to append now.
+    :param rate_per_s: bound on this node's own rate.
+    :param writer_count: returns how many nodes may have records to append now.
     """
 
     def __init__(
@@ -52,14 +53,16 @@
         self._wake = asyncio.Event()
 
     def submit(self, record: Record, is_current: t.Callable[[], bool] | None = None) -> None:
-        """Have a record appended unless one with its publish id is known already.
+        """Queue a record for appending, unless its publish id is pending or known to the store.
 
-        :param is_current: asked before each append; the record is dropped once it says no.
+        :param is_current: called before each append; the record is dropped once it returns false.
         """
         if record.publish_id in self._pending_by_id or self._is_known(record):
             return
         if len(self._pending_by_id) >= MAX_PENDING_RECORDS:
-            logger.error("record {} dropped: {} wait", record.publish_id, MAX_PENDING_RECORDS)
+            logger.error(
+                "record {} dropped: {} records are pending", record.publish_id, MAX_PENDING_RECORDS
+            )
             return
         self._pending_by_id[record.publish_id] = record
         if is_current is not None:
@@ -67,7 +70,7 @@
         self._wake.set()
 
     def pending_records(self) -> list[Record]:
-        """Return the records that the log is not known to have."""
+        """Return the records that are not known to be on the log."""
         self._discard_obsolete()
         return list(self._pending_by_id.values())
 
@@ -102,7 +105,7 @@
     async def _append_pending(self) -> None:
         failures = 0
         while True:
-            # Another node's append, or an own one whose answer was lost, shows in the store.
+            # Appends by other nodes, and own ones whose response was lost, show in the store.
             self._discard_obsolete()
             record = next(iter(self._pending_by_id.values()), None)
             if record is None:
@@ -116,11 +119,11 @@
             await asyncio.sleep(self.spacing_s() + self._rng.uniform(0, cap_s))
 
     async def _append(self, record: Record) -> bool:
-        """Append once; tell whether the record needs no further append."""
+        """Try one append; return whether the record needs no further one."""
         match await self._log.append(CONFIGURATION_STREAM, encode_record(record)):
             case Ok(_):
                 return True
             case Err(error):
                 pass
-        logger.warning("appending {} failed: {}", record.publish_id, error.message)
+        logger.warning("appending record {} failed: {}", record.publish_id, error.message)
         return error.kind is LogErrorKind.REJECTED
--- a/src/bulrushflow/recording/recovery.py
+++ b/src/bulrushflow/recording/recovery.py
@@ -1,4 +1,7 @@
-"""Finding the newest usable snapshot on the log, for a node whose next record was trimmed."""
+"""Recovery from the newest usable snapshot on the log.
+
+It is used by nodes whose next record was trimmed, or which are far behind the log's end.
+"""
 
 import msgspec
 from loguru import logger
@@ -18,11 +21,11 @@
 from bulrushflow.recording.log import LogError
 
 SPAN_FACTOR = 4
-"""By how much the search goes further back each time it finds no usable snapshot."""
+"""Growth of the searched span each time it contains no usable snapshot."""
 
 
 class Recovery(msgspec.Struct, frozen=True):
-    """A configuration from a snapshot, and the records on the log that come after it."""
+    """The configuration of a snapshot, and the records that follow it on the log."""
 
     configuration: Configuration
     records: tuple[LogRecord, ...]
@@ -33,8 +36,9 @@
 ) -> Result[Recovery, str]:
     """Return the newest usable snapshot above ``current_offset`` with the records that follow it.
 
+    :param current_offset: the caller's configuration version; older snapshots are of no use to it.
     :param first_offset: oldest offset that the log keeps.
-    :param span: how many of the newest records are searched first.
+    :param span: number of the newest records that are searched first.
     """
     match await log.tail(CONFIGURATION_STREAM, 1):
         case Err(error):
@@ -54,7 +58,7 @@
             return Ok(Recovery(configuration, rest))
         if start == first_offset:
             return Err(
-                f"the log holds offsets {first_offset} to {end - 1} and no usable snapshot "
+                f"the log keeps offsets {first_offset} to {end - 1} and no usable snapshot "
                 f"above version {current_offset}"
             )
         span *= SPAN_FACTOR
@@ -88,7 +92,7 @@
             case Ok(configuration):
                 return configuration
             case Err(reason):
-                logger.error("record {} passed over: {}", record.offset, reason)
+                logger.error("snapshot at offset {} skipped: {}", record.offset, reason)
     return None
 
 
@@ -99,11 +103,16 @@
         case _:
             return None
     if header.schema > SUPPORTED_SCHEMA:
-        logger.error("record {} is a snapshot of schema {}", record.offset, header.schema)
+        logger.error(
+            "snapshot at offset {} skipped: schema {}, supported are schemas up to {}",
+            record.offset,
+            header.schema,
+            SUPPORTED_SCHEMA,
+        )
         return None
     match decode_record(record.body):
         case Ok(Snapshot() as snapshot):
             return snapshot
         case Err(reason):
-            logger.error("record {} passed over: {}", record.offset, reason)
+            logger.error("snapshot at offset {} skipped: {}", record.offset, reason)
     return None
--- a/src/bulrushflow/recording/snapshots.py
+++ b/src/bulrushflow/recording/snapshots.py
@@ -1,4 +1,4 @@
-"""Keeps a fresh snapshot of the configuration on the log."""
+"""Appends snapshots of the configuration to the log when the newest one is too old."""
 
 import asyncio
 import random
@@ -20,18 +20,19 @@
 
 CHECK_PERIOD_S = 5.0
 FIRST_WRITERS_WAIT_S = 30.0
-"""Longest random wait of a node that is among the first to write."""
+"""Longest random wait of the few nodes that write first."""
 OTHER_WRITERS_WAIT_S = 600.0
-"""Longest random wait of the rest, who write only when the snapshot is late."""
+"""Longest random wait of the other nodes, which write only when the snapshot is late."""
 LATE_FACTOR = 1.5
+"""Multiple of the policy's bounds from which a snapshot is late."""
 
 
 class SnapshotWriter:
     """Appends a snapshot after a random wait when the newest one is too old.
 
-    Any node may write: two equal snapshots change nothing.
+    Any node may do so, since a second equal snapshot has no effect.
 
-    :param is_first_writer: tells whether this node is among the few that write before the others.
+    :param is_first_writer: returns whether this node is among the few that write first.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         timers.subscribe("snapshot", CHECK_PERIOD_S, self.check)
 
     async def check(self) -> None:
-        """Write a snapshot when one is due and still is after the wait."""
+        """Append a snapshot if one is due, and is still due after the random wait."""
         if not self._is_due():
             return
         wait_s = FIRST_WRITERS_WAIT_S if self._is_first_writer() else OTHER_WRITERS_WAIT_S
@@ -69,9 +70,15 @@
         snapshot = make_snapshot(self._store.current)
         match await self._log.append(CONFIGURATION_STREAM, encode_record(snapshot)):
             case Ok(offset):
-                logger.info("snapshot of version {} at {}", snapshot.state_offset, offset)
+                logger.info(
+                    "snapshot of version {} appended at offset {}", snapshot.state_offset, offset
+                )
             case Err(error):
-                logger.warning("appending a snapshot failed: {}", error.message)
+                logger.warning(
+                    "appending a snapshot of version {} failed: {}",
+                    snapshot.state_offset,
+                    error.message,
+                )
 
     def _is_due(self) -> bool:
         policy = self._policy if self._is_first_writer() else self._late_policy
