--- a/tests/recording/contract.py
+++ b/tests/recording/contract.py
@@ -1,4 +1,4 @@
-"""What every implementation of the log's interface must keep, faults included."""
+"""Contract tests for implementations of the log's interface, including faults."""
 
 import asyncio
 import typing as t
@@ -10,23 +10,23 @@
 
 
 class LogFixture(t.Protocol):
-    """A log under test and the faults it can be given."""
+    """A log under test, with faults that tests can set."""
 
     @property
     def log(self) -> Log:
-        """The log, connected."""
+        """The connected log."""
 
     async def set_faults(self, down: bool = False, delay_ms: int = 0, lose: int = 0) -> None:
-        """Put faults in force, in place of those before."""
+        """Replace the faults in force."""
 
     async def trim(self, keep: int) -> None:
-        """Drop all but the newest records."""
+        """Remove all but the ``keep`` newest records."""
 
     async def trim_older(self, age_ms: int) -> None:
-        """Drop records older than ``age_ms`` milliseconds."""
+        """Remove records older than ``age_ms`` milliseconds."""
 
     async def stop(self) -> None:
-        """Stop whatever was started."""
+        """Close the log and stop its server."""
 
 
 class LogContract:
@@ -34,7 +34,7 @@
 
     fixture: LogFixture
     appends_per_s = 20
-    """Rate limit that the bench starts its log with."""
+    """Rate limit of the log under test."""
 
     async def test_offsets_count_up_and_reads_return_bytes_unchanged(self: t.Any) -> None:
         bodies = [b"", b"\x00\xff", "zadruga Vrtičkarjev".encode()]
@@ -46,7 +46,7 @@
         tail = (await self.fixture.log.tail(STREAM, 2)).unwrap()
         self.assertEqual([r.offset for r in tail.records], [1, 2])
 
-    async def test_streams_are_apart_and_an_empty_one_reads_empty(self: t.Any) -> None:
+    async def test_streams_are_separate_and_an_unknown_one_reads_empty(self: t.Any) -> None:
         await self.fixture.log.append(STREAM, b"x")
         for read in (self.fixture.log.read("other", 0), self.fixture.log.tail("other", 5)):
             page = (await read).unwrap()
@@ -59,12 +59,12 @@
         page = (await asyncio.wait_for(reading, 30)).unwrap()
         self.assertEqual([r.body for r in page.records], [b"x"])
 
-    async def test_a_read_beyond_the_end_shows_the_lower_next_offset(self: t.Any) -> None:
+    async def test_a_read_beyond_the_end_returns_the_actual_next_offset(self: t.Any) -> None:
         await self.fixture.log.append(STREAM, b"x")
         page = (await self.fixture.log.read(STREAM, 7)).unwrap()
         self.assertEqual((page.records, page.next_offset), ((), 1))
 
-    async def test_trimmed_offsets_are_told_with_the_first_kept(self: t.Any) -> None:
+    async def test_reading_a_trimmed_offset_returns_the_first_kept_one(self: t.Any) -> None:
         for trim in (self.fixture.trim(2), self.fixture.trim_older(0)):
             for _ in range(3):
                 (await self.fixture.log.append(STREAM, b"x")).unwrap()
@@ -76,10 +76,10 @@
                 kept = (await self.fixture.log.read(STREAM, error.first_offset)).unwrap()
                 self.assertEqual(kept.next_offset, error.first_offset + len(kept.records))
 
-    async def test_faults_show_as_errors_and_only_a_lost_answer_takes_effect(self: t.Any) -> None:
+    async def test_faults_are_errors_and_only_a_lost_response_has_an_effect(self: t.Any) -> None:
         cases: dict[str, tuple[dict[str, t.Any], int]] = {
             "down": ({"down": True}, 0),
-            "answers lost": ({"lose": 1}, 1),
+            "responses lost": ({"lose": 1}, 1),
             "slower than the timeout": ({"delay_ms": 60_000}, 0),
         }
         for name, (faults, effect) in cases.items():
@@ -92,7 +92,7 @@
                 after = (await self.fixture.log.tail(STREAM, 1)).unwrap().next_offset
                 self.assertEqual(after - before, effect)
 
-    async def test_appends_above_the_rate_are_refused_without_effect(self: t.Any) -> None:
+    async def test_appends_above_the_rate_limit_are_refused_without_effect(self: t.Any) -> None:
         results = [
             await self.fixture.log.append(STREAM, b"x") for _ in range(10 * self.appends_per_s)
         ]
--- a/tests/recording/fakes.py
+++ b/tests/recording/fakes.py
@@ -1,4 +1,4 @@
-"""A log in memory for tests of its users."""
+"""An in-memory log for tests."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
 
     @property
     def first_offset(self) -> int:
-        """Oldest offset kept."""
+        """The oldest offset kept."""
         return self.records[0].offset if self.records else 0
 
     def add(self, body: bytes) -> int:
--- a/tests/recording/test_http.py
+++ b/tests/recording/test_http.py
@@ -1,4 +1,4 @@
-"""The log's contract against the HTTP adapter and the stand-in."""
+"""Tests of the HTTP client: the log's contract against the stand-in, and malformed responses."""
 
 import typing as t
 import unittest
@@ -14,14 +14,14 @@
 
 
 class StandinFixture:
-    """A stand-in in this process on a port picked by the system."""
+    """A stand-in log in this process, on a port that the system picks."""
 
     def __init__(self, appends_per_s: float, timeout_s: float) -> None:
         self.standin = StandinLog(appends_per_s, 10_000)
         self._timeout_s = timeout_s
 
     async def start(self) -> None:
-        """Listen, and connect the adapter."""
+        """Start the stand-in and its client."""
         self._runner = web.AppRunner(self.standin.application(), shutdown_timeout=0.1)
         await self._runner.setup()
         await web.TCPSite(self._runner, "127.0.0.1", 0).start()
@@ -29,19 +29,19 @@
         self.log = HttpLog(self.url, self._timeout_s)
 
     async def set_faults(self, down: bool = False, delay_ms: int = 0, lose: int = 0) -> None:
-        """See :meth:`LogBench.set_faults`."""
+        """See :meth:`LogFixture.set_faults`."""
         await self._post("/faults", {"down": down, "delay_ms": delay_ms, "lose_answers": lose})
 
     async def trim(self, keep: int) -> None:
-        """See :meth:`LogBench.trim`."""
+        """See :meth:`LogFixture.trim`."""
         await self._post(f"/trim/{STREAM}?keep={keep}")
 
     async def trim_older(self, age_ms: int) -> None:
-        """See :meth:`LogBench.trim_older`."""
+        """See :meth:`LogFixture.trim_older`."""
         await self._post(f"/trim/{STREAM}?older_ms={age_ms}")
 
     async def stop(self) -> None:
-        """Close the adapter and the stand-in."""
+        """Close the client and stop the stand-in."""
         await self.log.close()
         await self._runner.cleanup()
 
@@ -57,7 +57,7 @@
         self.addAsyncCleanup(fixture.stop)
         self.fixture = fixture
 
-    async def test_answers_that_are_no_page_are_errors(self) -> None:
+    async def test_malformed_responses_are_errors(self) -> None:
         bodies_by_stream = {
             "no JSON": "<html>",
             "no object": "[]",
--- a/tests/recording/test_recorder.py
+++ b/tests/recording/test_recorder.py
@@ -1,4 +1,4 @@
-"""Tests of appending the system's own records."""
+"""Tests of appending a node's own records."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
         await self.recorder.start()
         self.addAsyncCleanup(self.recorder.stop)
 
-    async def test_each_failure_ends_with_one_record_in_effect(self) -> None:
+    async def test_appends_are_retried_until_one_record_is_in_effect(self) -> None:
         cases: dict[str, list[LogError]] = {
             "limited": [LogError(LogErrorKind.LIMITED, "limited")],
             "down": [LogError(LogErrorKind.UNAVAILABLE, "down")] * 3,
@@ -39,7 +39,7 @@
                 self.assertIn(name, self.store.current.verdicts_by_publish_id)
         self.assertEqual(len(self.log.records), len(cases))
 
-    async def test_a_verdict_seen_stops_the_retry_after_a_lost_answer(self) -> None:
+    async def test_a_record_seen_on_the_log_is_not_retried_after_a_lost_response(self) -> None:
         self.log.lost_responses = 1
         self.log.errors = []
         self.recorder.submit(FINISH)
@@ -47,7 +47,7 @@
         self.log.down = True
         self.store.apply(self.log.records)
         await until(lambda: not self.recorder.pending_records())
-        # The next record must not wait behind the one that is known by now.
+        # The next record must not be delayed by the one that is on the log already.
         self.log.down = False
         self.recorder.submit(FinishRollout(1, "other", "m", False, "healthy", "", "n1"))
         await until(lambda: not self.recorder.pending_records())
@@ -59,7 +59,7 @@
         self.recorder.submit(FINISH)
         self.assertEqual(self.recorder.pending_records(), [])
 
-    async def test_a_record_that_is_no_longer_current_is_dropped_unwritten(self) -> None:
+    async def test_a_record_that_is_no_longer_current_is_not_appended(self) -> None:
         self.log.down = True
         current = True
         self.recorder.submit(FINISH, lambda: current)
@@ -70,7 +70,7 @@
         await until(lambda: not self.recorder.pending_records())
         self.assertEqual(self.log.records, [])
 
-    def test_the_spacing_keeps_the_whole_fleet_below_its_rate(self) -> None:
+    def test_the_spacing_keeps_the_whole_fleet_below_the_rate(self) -> None:
         for nodes in (1, 10, 100, 480, 4800):
             with self.subTest(nodes=nodes):
                 recorder = Recorder(
--- a/tests/recording/test_recovery.py
+++ b/tests/recording/test_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of recovery from the log's snapshots once records were trimmed."""
+"""Tests of recovery from a snapshot after records were trimmed."""
 
 import unittest
 
@@ -35,7 +35,7 @@
 
 
 class RecoverTests(unittest.IsolatedAsyncioTestCase):
-    async def test_the_newest_usable_snapshot_and_the_rest_equal_a_full_replay(self) -> None:
+    async def test_the_newest_usable_snapshot_and_later_records_equal_a_full_replay(self) -> None:
         cases = {
             "one": (log_with_snapshots(12), 8, 11),
             "newest of two": (log_with_snapshots(10, 15), 8, 14),
@@ -52,12 +52,12 @@
                 folded = fold_records(found.configuration, found.records).configuration
                 self.assertEqual(digest(folded), digest(whole))
 
-    async def test_none_is_found_where_none_is_usable(self) -> None:
+    async def test_without_a_usable_snapshot_recovery_fails(self) -> None:
         cases = {
             "no snapshot": (log_with_snapshots(), 5, -1),
             "only a corrupt one": (log_with_snapshots(12, corrupt=12), 8, -1),
             "a gap after it": (log_with_snapshots(12), 13, -1),
-            "below what is held": (log_with_snapshots(12), 8, 11),
+            "below the current version": (log_with_snapshots(12), 8, 11),
         }
         for name, (log, first, current_offset) in cases.items():
             with self.subTest(name):
--- a/tests/recording/test_snapshots.py
+++ b/tests/recording/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Tests of keeping a fresh snapshot on the log."""
+"""Tests of appending snapshots to the log."""
 
 import random
 import unittest
@@ -13,7 +13,7 @@
 
 
 class FixedClock:
-    """A clock that stands at the time of the log's first records."""
+    """A clock fixed at the time of the log's first records."""
 
     def monotonic(self) -> float:
         """See :meth:`Clock.monotonic`."""
@@ -40,7 +40,7 @@
         self.addAsyncCleanup(timers.on_stop)
         return writer, store
 
-    async def test_the_first_write_when_due_and_the_others_when_late(self) -> None:
+    async def test_first_writers_append_when_due_and_others_when_late(self) -> None:
         cases = {(3, True): 0, (4, True): 1, (4, False): 0, (6, False): 1}
         for (count, is_first_writer), written in cases.items():
             with self.subTest(count=count, is_first_writer=is_first_writer):
@@ -52,7 +52,7 @@
                 await writer.check()
                 self.assertEqual(len(log.records) - count, written)
 
-    async def test_two_writers_and_a_lost_answer_do_no_more_than_repeat(self) -> None:
+    async def test_two_writers_and_a_lost_response_append_equal_snapshots(self) -> None:
         log = MemoryLog([change(i) for i in range(5)])
         log.lost_responses = 1
         writers = [self.writer(log, True) for _ in range(2)]
