--- a/src/bulrushflow/recording/recovery.py
+++ b/src/bulrushflow/recording/recovery.py
@@ -1,4 +1,7 @@
-"""Finding the newest usable snapshot on the log, for a node whose next record was trimmed."""
+"""Recovery from the newest usable snapshot on the log.
+
+It is used by nodes whose next record was trimmed, or which are far behind the log's end.
+"""
 
 import msgspec
 from loguru import logger
@@ -18,23 +21,24 @@
 from bulrushflow.recording.log import LogError
 
 SPAN_FACTOR = 4
-"""By how much the search goes further back each time it finds no usable snapshot."""
+"""Growth of the searched span each time it contains no usable snapshot."""
 
 
 class Recovery(msgspec.Struct, frozen=True):
-    """A configuration from a snapshot, and the records on the log that come after it."""
+    """The configuration of a snapshot, and the records that follow it on the log."""
 
     configuration: Configuration
     records: tuple[LogRecord, ...]
 
 
 async def recover_from_snapshot(
-    log: Log, held_offset: int, first_offset: int, span: int
+    log: Log, current_offset: int, first_offset: int, span: int
 ) -> Result[Recovery, str]:
-    """Return the newest usable snapshot above ``held_offset`` with the records that follow it.
+    """Return the newest usable snapshot above ``current_offset`` with the records that follow it.
 
+    :param current_offset: the caller's configuration version; older snapshots are of no use to it.
     :param first_offset: oldest offset that the log keeps.
-    :param span: how many of the newest records are searched first.
+    :param span: number of the newest records that are searched first.
     """
     match await log.tail(CONFIGURATION_STREAM, 1):
         case Err(error):
@@ -48,14 +52,14 @@
                 return Err(error.message)
             case Ok(records):
                 pass
-        configuration = _newest(records, start, held_offset)
+        configuration = _newest_usable(records, start, current_offset)
         if configuration is not None:
             rest = tuple(r for r in records if r.offset > configuration.offset)
             return Ok(Recovery(configuration, rest))
         if start == first_offset:
             return Err(
-                f"the log holds offsets {first_offset} to {end - 1} and no usable snapshot "
-                f"above version {held_offset}"
+                f"the log keeps offsets {first_offset} to {end - 1} and no usable snapshot "
+                f"above version {current_offset}"
             )
         span *= SPAN_FACTOR
 
@@ -75,10 +79,12 @@
     return Ok(records)
 
 
-def _newest(records: list[LogRecord], start: int, held_offset: int) -> Configuration | None:
+def _newest_usable(
+    records: list[LogRecord], start: int, current_offset: int
+) -> Configuration | None:
     for record in reversed(records):
         snapshot = _as_snapshot(record)
-        if snapshot is None or snapshot.state_offset <= held_offset:
+        if snapshot is None or snapshot.state_offset <= current_offset:
             continue
         if snapshot.state_offset + 1 < start or snapshot.state_offset >= record.offset:
             continue
@@ -86,7 +92,7 @@
             case Ok(configuration):
                 return configuration
             case Err(reason):
-                logger.error("record {} passed over: {}", record.offset, reason)
+                logger.error("snapshot at offset {} skipped: {}", record.offset, reason)
     return None
 
 
@@ -97,11 +103,16 @@
         case _:
             return None
     if header.schema > SUPPORTED_SCHEMA:
-        logger.error("record {} is a snapshot of schema {}", record.offset, header.schema)
+        logger.error(
+            "snapshot at offset {} skipped: schema {}, supported are schemas up to {}",
+            record.offset,
+            header.schema,
+            SUPPORTED_SCHEMA,
+        )
         return None
     match decode_record(record.body):
         case Ok(Snapshot() as snapshot):
             return snapshot
         case Err(reason):
-            logger.error("record {} passed over: {}", record.offset, reason)
+            logger.error("snapshot at offset {} skipped: {}", record.offset, reason)
     return None
--- a/tests/nodes/test_evidence_reporting.py
+++ b/tests/nodes/test_evidence_reporting.py
@@ -1,4 +1,4 @@
-"""Tests of the bounds on evidence reports, of their encoding, and of the age of evidence."""
+"""Tests of evidence reports: their bounds, their encoding and the age of evidence."""
 
 import asyncio
 import typing as t
@@ -24,12 +24,12 @@
 from bulrushflow.wire import codec
 from bulrushflow.wire import messages
 
-MOVE = Rollout("m", 7, "plots", "v1", "v2", 0, 60_000, "ana")
-GROUP = [Member(f"n{i}", "celje-a", "127.0.0.1", 1 + i, 1) for i in range(30)]
+ROLLOUT = Rollout("m", 7, "plots", "v1", "v2", 0, 60_000, "ana")
+MEMBERS = [Member(f"n{i}", "celje-a", "127.0.0.1", 1 + i, 1) for i in range(30)]
 
 
 class StuckSender:
-    """Never finishes a send to one node."""
+    """Records the ports sent to; sends to one of them never finish."""
 
     def __init__(self, stuck_port: int) -> None:
         self.ports: list[int] = []
@@ -41,8 +41,8 @@
             await asyncio.Event().wait()
 
 
-class ReportingTests(unittest.IsolatedAsyncioTestCase):
-    def test_reports_keep_to_the_budget_down_to_the_fewest_receivers(self) -> None:
+class EvidenceReporterTests(unittest.IsolatedAsyncioTestCase):
+    def test_report_limits_stay_within_the_budget_or_at_the_longest_period(self) -> None:
         for size in (50, 500, 2000, 5000, 100_000):
             with self.subTest(size):
                 period_s, receivers = report_limits(size)
@@ -51,26 +51,26 @@
                 longest = (MAX_LARGE_REPORT_PERIOD_S, MIN_RECEIVERS)
                 self.assertTrue(within or (period_s, receivers) == longest)
 
-    def test_the_longest_period_keeps_evidence_fresh(self) -> None:
+    def test_evidence_stays_fresh_over_the_longest_period(self) -> None:
         self.assertLess(
             max(MAX_LARGE_REPORT_PERIOD_S, UNCHANGED_REPORT_PERIOD_S) + TICK_S, MAX_EVIDENCE_AGE_S
         )
 
-    async def test_an_unreachable_receiver_holds_up_no_other(self) -> None:
-        book = EvidenceStore("n0", 1)
-        book.local(7).observe("v2", "/dues", False, 0.01)
+    async def test_an_unreachable_receiver_does_not_delay_the_others(self) -> None:
+        evidence_store = EvidenceStore("n0", 1)
+        evidence_store.local(7).observe("v2", "/dues", False, 0.01)
         sender = StuckSender(0)
-        reporting = EvidenceReporter(book, "n0", sender)
-        reporting.send_if_due(MOVE, GROUP, 0.0)
+        reporter = EvidenceReporter(evidence_store, "n0", sender)
+        reporter.send_if_due(ROLLOUT, MEMBERS, 0.0)
         await asyncio.sleep(0)
         receivers = set(sender.ports)
         self.assertLessEqual(len(receivers), MAX_RECEIVERS)
         stuck = min(receivers)
         sender = StuckSender(stuck)
-        reporting = EvidenceReporter(book, "n0", sender)
+        reporter = EvidenceReporter(evidence_store, "n0", sender)
         for i in range(5):
-            book.local(7).observe("v2", "/dues", False, 0.01)
-            reporting.send_if_due(MOVE, GROUP, 10.0 * i)
+            evidence_store.local(7).observe("v2", "/dues", False, 0.01)
+            reporter.send_if_due(ROLLOUT, MEMBERS, 10.0 * i)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         self.assertEqual(sender.ports.count(stuck), 1)
@@ -79,18 +79,20 @@
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
 
-    async def test_unchanged_evidence_is_repeated_seldom(self) -> None:
+    async def test_unchanged_evidence_is_sent_at_a_longer_period(self) -> None:
         sender = StuckSender(0)
-        reporting = EvidenceReporter(EvidenceStore("n0", 1), "n0", sender)
+        reporter = EvidenceReporter(EvidenceStore("n0", 1), "n0", sender)
         for i in range(40):
-            reporting.send_if_due(MOVE, GROUP[:2], i * UNCHANGED_REPORT_PERIOD_S / 10)
+            reporter.send_if_due(ROLLOUT, MEMBERS[:2], i * UNCHANGED_REPORT_PERIOD_S / 10)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         self.assertEqual(len(sender.ports), 4)
 
     @settings(max_examples=30)
     @given(st.lists(st.tuples(st.sampled_from(("/a", "/b")), st.booleans(), st.floats(0, 99))))
-    def test_a_report_keeps_its_counts(self, calls: list[tuple[str, bool, float]]) -> None:
+    def test_evidence_survives_an_encoding_round_trip(
+        self, calls: list[tuple[str, bool, float]]
+    ) -> None:
         evidence = Evidence(7, "n1", incarnation=5)
         for route, failed, latency_s in calls:
             evidence.observe("v2", route, failed, latency_s)
@@ -98,11 +100,11 @@
         decoded = messages.decode(messages.EvidenceReport, data).unwrap()
         self.assertEqual(codec.evidence_from_message(decoded), evidence)
 
-    def test_a_report_with_an_unknown_bucket_is_passed_over(self) -> None:
-        book = EvidenceStore("n0", 1)
+    def test_a_report_with_an_unknown_latency_bucket_is_skipped(self) -> None:
+        evidence_store = EvidenceStore("n0", 1)
         route = messages.RouteEvidence(
             version="v2", route="/a", calls=1, errors=0, sparse_buckets=[99, 1]
         )
         report = messages.EvidenceReport(move=7, node_id="n1", sequence=1, routes=[route])
-        EvidenceReporter(book, "n0", StuckSender(0)).merge_report(report, 1.0)
-        self.assertEqual(book.totals(7), {})
+        EvidenceReporter(evidence_store, "n0", StuckSender(0)).merge_report(report, 1.0)
+        self.assertEqual(evidence_store.totals(7), {})
--- a/tests/recording/fakes.py
+++ b/tests/recording/fakes.py
@@ -1,4 +1,4 @@
-"""A log in memory for tests of its users."""
+"""An in-memory log for tests."""
 
 import asyncio
 
@@ -15,21 +15,21 @@
 
 
 class MemoryLog:
-    """One stream; the next appends fail with ``errors``, or after the write if responses are lost."""
+    """One stream; the next appends fail with ``errors``, or lose their response after the write."""
 
     def __init__(self, bodies: list[bytes] | None = None, page_records: int = 4) -> None:
         self.records = [LogRecord(i, 1000 + i, b) for i, b in enumerate(bodies or [])]
         self.errors: list[LogError] = []
         self.lost_responses = 0
         self.down = False
-        self.next_offset_shown: int | None = None
+        self.reported_next_offset: int | None = None
         self.reads = 0
         self._page_records = page_records
         self._changed = asyncio.Event()
 
     @property
     def first_offset(self) -> int:
-        """Oldest offset kept."""
+        """The oldest offset kept."""
         return self.records[0].offset if self.records else 0
 
     def add(self, body: bytes) -> int:
@@ -76,5 +76,5 @@
     def _page(self, records: list[LogRecord]) -> LogPage:
         end = self.records[-1].offset + 1 if self.records else 0
         return LogPage(
-            tuple(records), end if self.next_offset_shown is None else self.next_offset_shown
+            tuple(records), end if self.reported_next_offset is None else self.reported_next_offset
         )
