--- a/src/bulrushflow/application.py
+++ b/src/bulrushflow/application.py
@@ -242,7 +242,7 @@
         )
 
     def _fail(self, error: InvariantError) -> None:
-        logger.critical("stopping the node, an invariant is broken: {}", error)
+        logger.critical("the node stops: {}", error)
         self.failure = error
         self.stopping.set()
 
--- a/src/bulrushflow/nodes/dissemination.py
+++ b/src/bulrushflow/nodes/dissemination.py
@@ -202,9 +202,7 @@
 
     def _detect_pause(self) -> None:
         if self._freshness.detect_pause(self._now()):
-            logger.warning(
-                "the process was paused; not ready until the check for later versions ends"
-            )
+            logger.warning("the process stood still; checking for later versions")
             self._pull_at = 0.0
             self._pull_wait_s = FIRST_PULL_WAIT_S
             if self._reader_task is not None:
--- a/src/bulrushflow/nodes/log_reader.py
+++ b/src/bulrushflow/nodes/log_reader.py
@@ -133,7 +133,7 @@
         span = 2 * self._settings.snapshot_every_records
         match await recover_from_snapshot(self._log, current_offset, first_offset, span):
             case Err(reason):
-                logger.error("recovery from a snapshot failed: {}", reason)
+                logger.error("no recovery from a snapshot: {}", reason)
                 return False
             case Ok(recovery):
                 pass
--- a/src/bulrushflow/nodes/seed_discovery.py
+++ b/src/bulrushflow/nodes/seed_discovery.py
@@ -113,7 +113,7 @@
         """Read the seed records, join through them, and append this node's own if it is needed."""
         match await self._read():
             case Err(error):
-                logger.warning("reading seed records from the log failed: {}", error.message)
+                logger.warning("reading introductions failed: {}", error.message)
                 self._failures += 1
                 await self._join_seeds()
                 return
--- a/src/bulrushflow/recording/recovery.py
+++ b/src/bulrushflow/recording/recovery.py
@@ -92,7 +92,7 @@
             case Ok(configuration):
                 return configuration
             case Err(reason):
-                logger.error("snapshot at offset {} skipped: {}", record.offset, reason)
+                logger.error("record {} passed over: {}", record.offset, reason)
     return None
 
 
@@ -114,5 +114,5 @@
         case Ok(Snapshot() as snapshot):
             return snapshot
         case Err(reason):
-            logger.error("snapshot at offset {} skipped: {}", record.offset, reason)
+            logger.error("record {} passed over: {}", record.offset, reason)
     return None
--- a/src/bulrushflow/timers.py
+++ b/src/bulrushflow/timers.py
@@ -106,7 +106,7 @@
         if last_beat_at is None or now - last_beat_at < PAUSE_THRESHOLD_S:
             return
         self._pause_ended_at = now
-        logger.warning("the process was paused for {:.1f} s", now - last_beat_at)
+        logger.warning("the process stood still for {:.1f} s", now - last_beat_at)
         for callback in self._pause_callbacks:
             callback(now - last_beat_at)
 
