--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -129,7 +129,7 @@
             report.seconds,
             report.seed * 1000 + int(multiple * 10) + 500 * through_nodes,
             ROUTE_TIMEOUT_MS / 1000,
-            in_turn=True,
+            round_robin=True,
         )
         await compare_runs(calls, [pair.target_url for pair in pairs])
         report.goodput.append(_goodput_row(way, multiple, capacity, report.seconds, calls))
--- a/src/bulrushflow/operators/accounts.py
+++ b/src/bulrushflow/operators/accounts.py
@@ -10,7 +10,7 @@
 from bulrushflow.configuration import RolloutStatus
 from bulrushflow.operators.client import OperatorClient
 from bulrushflow.operators.reports import Convergence
-from bulrushflow.operators.reports import MoveAccount
+from bulrushflow.operators.reports import RolloutReport
 from bulrushflow.operators.reports import NodeStatus
 from bulrushflow.operators.times import format_time
 
@@ -19,11 +19,11 @@
 
 async def wait_finished(
     client: OperatorClient, move_id: str, timeout_s: float
-) -> Result[MoveAccount, str]:
+) -> Result[RolloutReport, str]:
     """Wait until the log has a move's final record."""
     ends_at = time.monotonic() + timeout_s
     while True:
-        answer = await client.get(f"/moves/{move_id}", MoveAccount)
+        answer = await client.get(f"/moves/{move_id}", RolloutReport)
         match answer:
             case Ok(account) if account.move.status is not RolloutStatus.ACTIVE:
                 return Ok(account)
@@ -34,7 +34,7 @@
         await asyncio.sleep(POLL_S)
 
 
-def format_account(account: MoveAccount) -> str:
+def format_account(account: RolloutReport) -> str:
     """Return a move's account, a line an event."""
     move = account.move
     lines = [
--- a/src/bulrushflow/operators/endpoint.py
+++ b/src/bulrushflow/operators/endpoint.py
@@ -25,9 +25,9 @@
 from bulrushflow.nodes import Gossip
 from bulrushflow.operators.reports import Convergence
 from bulrushflow.operators.reports import MemberStatus
-from bulrushflow.operators.reports import MoveAccount
+from bulrushflow.operators.reports import RolloutReport
 from bulrushflow.operators.reports import NodeStatus
-from bulrushflow.operators.reports import UnrecordedAccount
+from bulrushflow.operators.reports import UnrecordedDecisions
 from bulrushflow.recording import Recorder
 from bulrushflow.rollouts import SharedRollouts
 
@@ -111,10 +111,10 @@
         return _json(held)
 
     async def unrecorded(self, _: web.Request) -> web.Response:
-        """Answer with :class:`UnrecordedAccount`."""
+        """Answer with :class:`UnrecordedDecisions`."""
         accounts = [self._account(m) for m in self._store.current.active_rollouts()]
         return _json(
-            UnrecordedAccount(
+            UnrecordedDecisions(
                 self._table.own_id,
                 [msgspec.Raw(encode_record(r)) for r in self._recorder.pending_records()],
                 [a for a in accounts if a.taken_back],
@@ -132,7 +132,7 @@
         return _json(list(self._store.current.moves_by_id.values()))
 
     async def move(self, request: web.Request) -> web.Response:
-        """Answer with :class:`MoveAccount`."""
+        """Answer with :class:`RolloutReport`."""
         move = self._store.current.moves_by_id.get(request.match_info["move_id"])
         if move is None:
             return _not_found("unknown move")
@@ -176,11 +176,11 @@
         self._metrics.ready.set({}, int(self._is_ready()))
         self._metrics.unrecorded.set({}, len(self._recorder.pending_records()))
 
-    def _account(self, move: Rollout) -> MoveAccount:
+    def _account(self, move: Rollout) -> RolloutReport:
         shared = self._shared_rollouts.by_offset.get(move.offset)
         prefix = f"{move.move_id}/"
         unrecorded = [r.publish_id for r in self._recorder.pending_records()]
-        return MoveAccount(
+        return RolloutReport(
             move,
             _share(move, self._shared_rollouts),
             shared.rolled_back if shared else move.status is RolloutStatus.ROLLED_BACK,
--- a/src/bulrushflow/operators/incidents.py
+++ b/src/bulrushflow/operators/incidents.py
@@ -14,11 +14,11 @@
 from bulrushflow.operators.history import summarize
 from bulrushflow.operators.reading import read_records
 from bulrushflow.operators.reports import Convergence
-from bulrushflow.operators.reports import UnrecordedAccount
+from bulrushflow.operators.reports import UnrecordedDecisions
 from bulrushflow.operators.times import format_time
 
 
-class IncidentAccount(msgspec.Struct, frozen=True):
+class IncidentReport(msgspec.Struct, frozen=True):
     """Who stated what, what the system decided, on what evidence, and what is not on the log."""
 
     asked_at_ms: int
@@ -35,9 +35,9 @@
     """What limits this account, such as a log that could not be read."""
 
 
-async def account_since(
+async def build_incident_report(
     client: OperatorClient, since_ms: int, now_ms: int
-) -> Result[IncidentAccount, str]:
+) -> Result[IncidentReport, str]:
     """Read the log, or a node where the log can't be read, and a node's own knowledge."""
     read = await read_records(client)
     match read:
@@ -55,7 +55,7 @@
     if convergence.is_err():
         notes.append(f"convergence is not known: {convergence.unwrap_err()}")
     return Ok(
-        IncidentAccount(
+        IncidentReport(
             now_ms,
             since_ms,
             found.first_offset,
@@ -69,7 +69,7 @@
     )
 
 
-def format_incident(account: IncidentAccount) -> str:
+def format_incident(account: IncidentReport) -> str:
     """Return the account as text, an event a paragraph."""
     lines = [f"account since {format_time(account.since_ms)}, version {account.version}"]
     lines += [f"note: {note}" for note in account.notes]
@@ -99,7 +99,7 @@
 async def _unrecorded(client: OperatorClient, notes: list[str]) -> list[str]:
     """Return what the named nodes know beyond the log; each tells only its own decisions."""
     told: list[str] = []
-    for answer in await client.get_each("/unrecorded", UnrecordedAccount):
+    for answer in await client.get_each("/unrecorded", UnrecordedDecisions):
         match answer:
             case Err(reason):
                 notes.append(f"what a node has unrecorded is not known: {reason}")
@@ -108,7 +108,7 @@
     return list(dict.fromkeys(told))
 
 
-def _unrecorded_lines(account: UnrecordedAccount) -> list[str]:
+def _unrecorded_lines(account: UnrecordedDecisions) -> list[str]:
     lines = [
         f"move {m.move.move_id} taken back by {m.decided_by}: {m.taken_back_reason}"
         for m in account.taken_back
--- a/src/bulrushflow/operators/inspecting.py
+++ b/src/bulrushflow/operators/inspecting.py
@@ -18,7 +18,7 @@
 from bulrushflow.operators.dry_run import dry_run
 from bulrushflow.operators.history import Event
 from bulrushflow.operators.history import History
-from bulrushflow.operators.incidents import account_since
+from bulrushflow.operators.incidents import build_incident_report
 from bulrushflow.operators.incidents import format_event
 from bulrushflow.operators.incidents import format_incident
 from bulrushflow.operators.options import DEFAULT_LOG
@@ -38,7 +38,7 @@
 from bulrushflow.operators.publishing import load
 from bulrushflow.operators.reading import read_records
 from bulrushflow.operators.reports import Convergence
-from bulrushflow.operators.reports import MoveAccount
+from bulrushflow.operators.reports import RolloutReport
 from bulrushflow.operators.reports import NodeStatus
 from bulrushflow.recording import CONFIGURATION_STREAM
 
@@ -82,7 +82,7 @@
     json: JsonOutput = False
 
     def __call__(self) -> None:
-        account = asyncio.run(get(self.node_url, f"/moves/{self.move_id}", MoveAccount))
+        account = asyncio.run(get(self.node_url, f"/moves/{self.move_id}", RolloutReport))
         print(encode(account) if self.json else accounts.format_account(account))
 
 
@@ -110,7 +110,7 @@
 
     async def _run(self, since_ms: int, now_ms: int) -> t.Any:
         async with OperatorClient(self.log_url, self.node_url, 0.0) as client:
-            return expect(await account_since(client, since_ms, now_ms))
+            return expect(await build_incident_report(client, since_ms, now_ms))
 
 
 @dataclass
--- a/src/bulrushflow/operators/reports.py
+++ b/src/bulrushflow/operators/reports.py
@@ -44,7 +44,7 @@
     silent: list[str]
 
 
-class MoveAccount(msgspec.Struct, frozen=True):
+class RolloutReport(msgspec.Struct, frozen=True):
     """A move as the log has it, and what one node knows beyond that."""
 
     move: Rollout
@@ -55,11 +55,11 @@
     unrecorded: list[str]
 
 
-class UnrecordedAccount(msgspec.Struct, frozen=True):
+class UnrecordedDecisions(msgspec.Struct, frozen=True):
     """Decisions that one node knows and the log is not known to have."""
 
     node_id: str
     records: list[msgspec.Raw]
     """This node's own records that wait to be appended, in the log's form."""
-    taken_back: list[MoveAccount]
+    taken_back: list[RolloutReport]
     """Moves that were taken back without a final record on the log yet."""
--- a/src/bulrushflow/standins/load.py
+++ b/src/bulrushflow/standins/load.py
@@ -64,7 +64,7 @@
     p99_ms: float = 0.0
     answered_by_version: dict[str, int] = {}
 
-    def broken(self) -> bool:
+    def has_failures(self) -> bool:
         """Tell whether a caller was given less than the whole answer or a true outcome."""
         return bool(self.lost + self.doubled + self.crossed + self.cut + self.false_not_run)
 
@@ -110,7 +110,7 @@
     seconds: float,
     seed: int,
     timeout_s: float = CALL_TIMEOUT_S,
-    in_turn: bool = False,
+    round_robin: bool = False,
 ) -> Calls:
     """Send calls at a fixed mean rate, whatever the answers take.
 
@@ -118,7 +118,7 @@
 
     :param rate: calls per second over all nodes.
     :param timeout_s: time limit of one call, after which its caller disconnects.
-    :param in_turn: take the nodes in turn instead of at random.
+    :param round_robin: take the nodes in turn instead of at random.
     """
     rng = random.Random(seed)
     calls = Calls(Summary(seed), _histogram(), _histogram())
@@ -134,7 +134,7 @@
             due_at = started_at + due_s
             await _sleep_until(due_at)
             number += 1
-            node = nodes[number % len(nodes)] if in_turn else rng.choice(nodes)
+            node = nodes[number % len(nodes)] if round_robin else rng.choice(nodes)
             method = rng.choice(["GET", "POST"])
             call = PlannedCall(
                 request_id=f"{seed}-{number}",
@@ -282,7 +282,7 @@
     def __call__(self) -> None:
         summary = asyncio.run(self._run())
         sys.stdout.write(msgspec.json.encode(summary).decode() + "\n")
-        if summary.broken():
+        if summary.has_failures():
             raise cappa.Exit(code=1)
 
     async def _run(self) -> Summary:
--- a/tests/operators/test_endpoint.py
+++ b/tests/operators/test_endpoint.py
@@ -12,7 +12,7 @@
 from bulrushflow.configuration import decode_record
 from bulrushflow.configuration import encode_record
 from bulrushflow.operators.client import OperatorClient
-from bulrushflow.operators.incidents import account_since
+from bulrushflow.operators.incidents import build_incident_report
 from bulrushflow.recording import CONFIGURATION_STREAM
 from bulrushflow.rollouts import SharedRollout
 from tests.operators.nodes import NodeTestCase
@@ -104,7 +104,7 @@
         self.assertEqual(unrecorded["records"][0]["publish_id"], "m/taken-back")
         self.assertEqual(unrecorded["taken_back"][0]["taken_back_reason"], "errors")
         self.assertEqual((await self.get_json("/status"))["unrecorded"], ["m/taken-back"])
-        account = (await account_since(self.client, 0, 1)).unwrap()
+        account = (await build_incident_report(self.client, 0, 1)).unwrap()
         self.assertIn("the log could not be read", account.notes[0])
         self.assertEqual([e.publish_id for e in account.events], ["p1", "m"])
         told = "\n".join(account.unrecorded)
@@ -112,7 +112,7 @@
         self.assertIn("m/taken-back of node celje-a-1", told)
         urls = f"http://127.0.0.1:9,{self.operator_url},{self.operator_url}"
         async with OperatorClient(self.log_url, urls, 0.0) as client:
-            again = (await account_since(client, 0, 1)).unwrap()
+            again = (await build_incident_report(client, 0, 1)).unwrap()
         self.assertEqual(again.unrecorded, account.unrecorded)
         self.assertIn("could not be asked", "".join(again.notes))
 
@@ -120,7 +120,7 @@
         (await self.client.publish(PLOTS)).unwrap()
         records: t.Any = (await self.client.get("/records?from=0", list[t.Any])).unwrap()
         self.assertEqual([r["offset"] for r in records], [0])
-        account = (await account_since(self.client, 0, 1)).unwrap()
+        account = (await build_incident_report(self.client, 0, 1)).unwrap()
         self.assertEqual(account.digest, (await self.get_json("/status"))["digest"])
         self.assertEqual(account.convergence and account.convergence.in_force, 1)
         self.assertEqual(decode_record(encode_record(PLOTS)).unwrap(), PLOTS)
@@ -133,10 +133,10 @@
             (await self.client.publish(record)).unwrap()
         async with self.session.post(f"{self.log_url}/trim/{CONFIGURATION_STREAM}?keep=1"):
             pass
-        account = (await account_since(self.client, 0, 1)).unwrap()
+        account = (await build_incident_report(self.client, 0, 1)).unwrap()
         self.assertEqual(account.first_offset, 2)
         self.assertEqual([e.verdict for e in account.events], ["accepted"])
         self.assertIn("no records before offset 2", account.notes[0])
         self.node.store.current = EMPTY_CONFIGURATION
-        reason = (await account_since(self.client, 0, 1)).unwrap_err()
+        reason = (await build_incident_report(self.client, 0, 1)).unwrap_err()
         self.assertIn("the node holds only version -1", reason)
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -8,9 +8,9 @@
 from bulrushflow.configuration import RolloutStatus
 from bulrushflow.configuration import StartRollout
 from bulrushflow.operators.client import OperatorClient
-from bulrushflow.operators.incidents import IncidentAccount
-from bulrushflow.operators.incidents import account_since
-from bulrushflow.operators.reports import MoveAccount
+from bulrushflow.operators.incidents import IncidentReport
+from bulrushflow.operators.incidents import build_incident_report
+from bulrushflow.operators.reports import RolloutReport
 from tests.processes.fleet import FleetTestCase
 from tests.processes.programs import until
 
@@ -66,11 +66,11 @@
     async def taken_back(self) -> bool:
         return (await self.move(self.fleet.nodes[0].operator_url)).taken_back
 
-    async def move(self, operator_url: str) -> MoveAccount:
+    async def move(self, operator_url: str) -> RolloutReport:
         body = await self.fleet.get(operator_url + "/moves/m")
-        return msgspec.json.decode(body, type=MoveAccount)
+        return msgspec.json.decode(body, type=RolloutReport)
 
-    async def account(self) -> IncidentAccount:
+    async def account(self) -> IncidentReport:
         urls = ",".join(node.operator_url for node in self.fleet.nodes)
         async with OperatorClient(self.fleet.log_url, urls, 0.0) as client:
-            return (await account_since(client, 0, 1)).unwrap()
+            return (await build_incident_report(client, 0, 1)).unwrap()
