--- a/src/bulrushflow/operators/client.py
+++ b/src/bulrushflow/operators/client.py
@@ -33,13 +33,13 @@
 T = t.TypeVar("T")
 
 
-class _Answer(msgspec.Struct, frozen=True):
+class _NodeResponse(msgspec.Struct, frozen=True):
     url: str
     status: int
     body: bytes
 
 
-class _HeldVersion(msgspec.Struct, frozen=True):
+class _CurrentVersion(msgspec.Struct, frozen=True):
     offset: int
 
 
@@ -62,7 +62,7 @@
             timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
         )
         self._rng = random.Random()
-        self._ends_at = time.monotonic() + timeout_s
+        self._deadline = time.monotonic() + timeout_s
 
     async def __aenter__(self) -> "OperatorClient":
         return self
@@ -85,9 +85,9 @@
                     pass
             if error.kind is LogErrorKind.REJECTED:
                 return Err(f"the log rejected the record: {error.message}")
-            if time.monotonic() + backoff_s >= self._ends_at:
+            if time.monotonic() + backoff_s >= self._deadline:
                 return Err(
-                    f"the log did not confirm the record: {error.message}; {_repeat_advice(record)}"
+                    f"the log did not confirm the record: {error.message}; {_retry_advice(record)}"
                 )
             await asyncio.sleep(self._rng.uniform(0, backoff_s))
             backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
@@ -102,7 +102,7 @@
                     seen = f"behind: {convergence.behind}, silent: {convergence.silent}"
                 case Err(reason):
                     seen = reason
-            if time.monotonic() >= self._ends_at:
+            if time.monotonic() >= self._deadline:
                 return Err(
                     f"version {offset} was accepted, but is not known to be in force on every "
                     f"node: {seen}"
@@ -123,31 +123,31 @@
         """Return the body of the first node that answers at all."""
         reasons = []
         for url in self._node_urls:
-            answer = await self._ask(url, path)
+            answer = await self._request(url, path)
             if answer.is_ok():
                 return answer.and_then(_body)
             reasons.append(answer.unwrap_err())
         return Err("; ".join(reasons))
 
-    async def get_each(self, path: str, kind: type[T]) -> list[Result[T, str]]:
+    async def get_from_each_node(self, path: str, kind: type[T]) -> list[Result[T, str]]:
         """Ask every node that was named, and return their answers in that order."""
         answers = []
         for url in self._node_urls:
-            answer = await self._ask(url, path)
+            answer = await self._request(url, path)
             answers.append(answer.and_then(_body).and_then(lambda body: _decode(body, kind)))
         return answers
 
-    async def _ask(self, url: str, path: str) -> Result[_Answer, str]:
+    async def _request(self, url: str, path: str) -> Result[_NodeResponse, str]:
         """Return one node's answer, whatever its status."""
         try:
             async with self._session.get(url + path) as response:
-                return Ok(_Answer(url, response.status, await response.read()))
+                return Ok(_NodeResponse(url, response.status, await response.read()))
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
             return Err(f"the node at {url} could not be asked: {exc!r}")
 
     async def _newest_version(self) -> int | None:
         """Return the version that a node holds, else the log's end; ``None`` when neither tells."""
-        match await self.get("/status", _HeldVersion):
+        match await self.get("/status", _CurrentVersion):
             case Ok(status):
                 return status.offset
             case Err(_):
@@ -162,18 +162,18 @@
         while True:
             match await self.get(f"/verdicts/{record.publish_id}", Verdict):
                 case Ok(verdict):
-                    return _own_verdict(verdict, record)
+                    return _check_verdict(verdict, record)
                 case Err(reason):
                     pass
-            if time.monotonic() >= self._ends_at:
+            if time.monotonic() >= self._deadline:
                 return Err(
                     "the log has the record, but no node told its verdict: "
-                    f"{reason}; {_repeat_advice(record)}"
+                    f"{reason}; {_retry_advice(record)}"
                 )
             await asyncio.sleep(POLL_S)
 
 
-def _own_verdict(verdict: Verdict, record: Record) -> Result[Verdict, str]:
+def _check_verdict(verdict: Verdict, record: Record) -> Result[Verdict, str]:
     """Make sure that a verdict is on this record, not on another under the same publish id."""
     if verdict.record_digest in ("", record_digest(record)):
         return Ok(verdict)
@@ -183,7 +183,7 @@
     )
 
 
-def _repeat_advice(record: Record) -> str:
+def _retry_advice(record: Record) -> str:
     made_at = "" if record.made_at is None else f" --made-at {record.made_at}"
     return (
         "it may take effect all the same; repeat the same command with "
@@ -191,7 +191,7 @@
     )
 
 
-def _body(answer: _Answer) -> Result[bytes, str]:
+def _body(answer: _NodeResponse) -> Result[bytes, str]:
     if answer.status == OK_STATUS:
         return Ok(answer.body)
     text = _error_text(answer.body)
--- a/src/bulrushflow/operators/documents.py
+++ b/src/bulrushflow/operators/documents.py
@@ -18,7 +18,7 @@
 from bulrushflow.configuration import decode_record
 
 DOCUMENT_SCHEMA = 1
-BY_METHOD_SCHEMA = 2
+METHOD_IDEMPOTENCY_SCHEMA = 2
 """From this schema on, routes state seconds, and idempotency by method."""
 ALL_METHODS = "*"
 
@@ -99,10 +99,10 @@
     routes = configuration.routes_by_path
     base = {f"service/{name}": service.offset for name, service in services.items()}
     base.update({f"route/{path}": route.offset for path, route in routes.items()})
-    by_method = configuration.schema_level >= BY_METHOD_SCHEMA
+    by_method = configuration.schema_level >= METHOD_IDEMPOTENCY_SCHEMA
     fields = _route_fields_by_method if by_method else _route_fields
     return {
-        "schema": BY_METHOD_SCHEMA if by_method else DOCUMENT_SCHEMA,
+        "schema": METHOD_IDEMPOTENCY_SCHEMA if by_method else DOCUMENT_SCHEMA,
         "services": {name: {"version": service.version} for name, service in services.items()},
         "routes": {path: fields(route) for path, route in routes.items()},
         "base": base,
--- a/src/bulrushflow/operators/dry_run.py
+++ b/src/bulrushflow/operators/dry_run.py
@@ -11,7 +11,7 @@
 from bulrushflow.configuration import encode_record
 from bulrushflow.configuration import fold
 
-_UNTOLD_FIELDS = frozenset({"name", "path", "offset"})
+_OMITTED_FIELDS = frozenset({"name", "path", "offset"})
 
 
 class DryRun(msgspec.Struct, frozen=True):
@@ -62,4 +62,4 @@
     if value is None:
         return ""
     fields = msgspec.structs.asdict(value)
-    return " ".join(f"{name}={fields[name]}" for name in fields if name not in _UNTOLD_FIELDS)
+    return " ".join(f"{name}={fields[name]}" for name in fields if name not in _OMITTED_FIELDS)
--- a/src/bulrushflow/operators/endpoint.py
+++ b/src/bulrushflow/operators/endpoint.py
@@ -25,13 +25,13 @@
 from bulrushflow.nodes import Gossip
 from bulrushflow.operators.reports import Convergence
 from bulrushflow.operators.reports import MemberStatus
-from bulrushflow.operators.reports import RolloutReport
 from bulrushflow.operators.reports import NodeStatus
+from bulrushflow.operators.reports import RolloutReport
 from bulrushflow.operators.reports import UnrecordedDecisions
 from bulrushflow.recording import Recorder
 from bulrushflow.rollouts import SharedRollouts
 
-PROBES_AT_ONCE = 64
+MAX_CONCURRENT_PROBES = 64
 
 
 class OperatorEndpoint:
@@ -100,7 +100,7 @@
 
     async def records(self, request: web.Request) -> web.Response:
         """Answer with the log's records from an offset on, 410 when some are not held."""
-        match _offset(request, "from"):
+        match _parse_offset(request, "from"):
             case Err(reason):
                 return _bad_request(reason)
             case Ok(from_offset):
@@ -112,7 +112,7 @@
 
     async def unrecorded(self, _: web.Request) -> web.Response:
         """Answer with :class:`UnrecordedDecisions`."""
-        accounts = [self._account(m) for m in self._store.current.active_rollouts()]
+        accounts = [self._rollout_report(m) for m in self._store.current.active_rollouts()]
         return _json(
             UnrecordedDecisions(
                 self._table.own_id,
@@ -136,19 +136,19 @@
         move = self._store.current.moves_by_id.get(request.match_info["move_id"])
         if move is None:
             return _not_found("unknown move")
-        return _json(self._account(move))
+        return _json(self._rollout_report(move))
 
     async def convergence(self, request: web.Request) -> web.Response:
         """Ask every member which version it holds; answer with :class:`Convergence`."""
-        match _offset(request, "offset"):
+        match _parse_offset(request, "offset"):
             case Err(reason):
                 return _bad_request(reason)
             case Ok(offset):
                 pass
-        gate = asyncio.Semaphore(PROBES_AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_PROBES)
 
         async def probe(member: Member) -> int | None:
-            async with gate:
+            async with semaphore:
                 return await self._gossip.probe(member)
 
         others = self._table.live_peers()
@@ -166,23 +166,23 @@
 
     async def metrics(self, request: web.Request) -> web.Response:
         """Answer with the metrics in Prometheus's text format."""
-        self._observe()
+        self._update_gauges()
         return await self._metrics.serve(request)
 
-    def _observe(self) -> None:
+    def _update_gauges(self) -> None:
         counts = Counter(member.status for member in self._table.by_id.values())
         for status in Status:
             self._metrics.members.set({"status": status.name.lower()}, counts[status])
         self._metrics.ready.set({}, int(self._is_ready()))
         self._metrics.unrecorded.set({}, len(self._recorder.pending_records()))
 
-    def _account(self, move: Rollout) -> RolloutReport:
+    def _rollout_report(self, move: Rollout) -> RolloutReport:
         shared = self._shared_rollouts.by_offset.get(move.offset)
         prefix = f"{move.move_id}/"
         unrecorded = [r.publish_id for r in self._recorder.pending_records()]
         return RolloutReport(
             move,
-            _share(move, self._shared_rollouts),
+            _traffic_share(move, self._shared_rollouts),
             shared.rolled_back if shared else move.status is RolloutStatus.ROLLED_BACK,
             shared.reason if shared else "",
             shared.decided_by if shared else move.decided_by,
@@ -190,7 +190,7 @@
         )
 
 
-def _share(move: Rollout, shared_rollouts: SharedRollouts) -> int:
+def _traffic_share(move: Rollout, shared_rollouts: SharedRollouts) -> int:
     if move.status is RolloutStatus.ACTIVE:
         return shared_rollouts.share_permille(move.offset)
     return 1000 if move.status is RolloutStatus.COMPLETED else 0
@@ -214,7 +214,7 @@
     return web.Response(body=msgspec.json.encode(value), content_type="application/json")
 
 
-def _offset(request: web.Request, name: str) -> Result[int, str]:
+def _parse_offset(request: web.Request, name: str) -> Result[int, str]:
     try:
         return Ok(int(request.query[name]))
     except (KeyError, ValueError):
--- a/src/bulrushflow/operators/accounts.py
+++ b/src/bulrushflow/operators/formatting.py
@@ -10,8 +10,8 @@
 from bulrushflow.configuration import RolloutStatus
 from bulrushflow.operators.client import OperatorClient
 from bulrushflow.operators.reports import Convergence
-from bulrushflow.operators.reports import RolloutReport
 from bulrushflow.operators.reports import NodeStatus
+from bulrushflow.operators.reports import RolloutReport
 from bulrushflow.operators.times import format_time
 
 POLL_S = 0.5
@@ -34,7 +34,7 @@
         await asyncio.sleep(POLL_S)
 
 
-def format_account(account: RolloutReport) -> str:
+def format_rollout(account: RolloutReport) -> str:
     """Return a move's account, a line an event."""
     move = account.move
     lines = [
--- a/src/bulrushflow/operators/history.py
+++ b/src/bulrushflow/operators/history.py
@@ -25,7 +25,7 @@
 from bulrushflow.configuration import fold_records
 from bulrushflow.operators.times import format_time
 
-UNJUDGED = "not judged: the state before it is not known"
+NOT_JUDGED = "not judged: the state before it is not known"
 
 
 class Event(msgspec.Struct, frozen=True):
@@ -61,13 +61,13 @@
         self._events: list[Event] = []
         self._verdicts_by_publish_id = dict(start.verdicts_by_publish_id)
         self._keys_by_offset: dict[int, set[str]] = {}
-        self._holder_by_key: dict[str, int] = {}
-        self._service_by_move: dict[str, str] = {
+        self._latest_offset_by_key: dict[str, int] = {}
+        self._service_by_rollout_id: dict[str, str] = {
             move.move_id: move.service for move in start.moves_by_id.values()
         }
-        self._outcome_by_move: dict[str, str] = {}
+        self._outcome_by_rollout_id: dict[str, str] = {}
 
-    def take(self, log_record: LogRecord) -> Event:
+    def add(self, log_record: LogRecord) -> Event:
         """Add the next record and return its event, as far as it is known by now.
 
         :raises InvariantError: when a record is missing.
@@ -87,12 +87,12 @@
 
     def events(self) -> list[Event]:
         """Return all events, each with what became of it."""
-        return [msgspec.structs.replace(e, became=self._became(e)) for e in self._events]
+        return [msgspec.structs.replace(e, became=self._outcome(e)) for e in self._events]
 
     def _event(self, log_record: LogRecord, record: Record) -> Event:
         verdict = self._verdict(log_record.offset, record.publish_id)
         if verdict == "accepted":
-            self._note_effect(log_record.offset, record)
+            self._record_effect(log_record.offset, record)
         return Event(
             log_record.offset,
             log_record.appended_at_ms,
@@ -130,37 +130,37 @@
             self._verdicts_by_publish_id[publish_id] = held
         verdict: Verdict | None = self._verdicts_by_publish_id.get(publish_id)
         if verdict is None:
-            return "unchanged" if offset > self._start_offset else UNJUDGED
+            return "unchanged" if offset > self._start_offset else NOT_JUDGED
         if verdict.offset != offset:
             return f"repeat of offset {verdict.offset}: no effect"
         return "accepted" if verdict.accepted else f"rejected: {verdict.reason}"
 
-    def _note_effect(self, offset: int, record: Record) -> None:
+    def _record_effect(self, offset: int, record: Record) -> None:
         if isinstance(record, StartRollout):
-            self._service_by_move[record.publish_id] = record.service
+            self._service_by_rollout_id[record.publish_id] = record.service
         if isinstance(record, FinishRollout | WithdrawRollout):
             outcome = summarize(record).removeprefix(f"move {record.move_id} ")
-            self._outcome_by_move[record.move_id] = f"{outcome}, at offset {offset}"
-        keys = _keys(record, self._service_by_move)
+            self._outcome_by_rollout_id[record.move_id] = f"{outcome}, at offset {offset}"
+        keys = _changed_keys(record, self._service_by_rollout_id)
         self._keys_by_offset[offset] = keys
         for key in keys:
-            self._holder_by_key[key] = offset
+            self._latest_offset_by_key[key] = offset
 
-    def _became(self, event: Event) -> str:
+    def _outcome(self, event: Event) -> str:
         if event.kind == "start_move" and event.verdict == "accepted":
-            return self._move_outcome(event.publish_id)
+            return self._rollout_outcome(event.publish_id)
         keys = self._keys_by_offset.get(event.offset)
         if not keys:
             return ""
-        replaced = {k: h for k in keys if (h := self._holder_by_key[k]) != event.offset}
+        replaced = {k: h for k in keys if (h := self._latest_offset_by_key[k]) != event.offset}
         if not replaced:
             return "in force"
         told = ", ".join(f"{key} by offset {holder}" for key, holder in sorted(replaced.items()))
         return f"replaced: {told}" if len(replaced) == len(keys) else f"replaced in part: {told}"
 
-    def _move_outcome(self, move_id: str) -> str:
-        if move_id in self._outcome_by_move:
-            return self._outcome_by_move[move_id]
+    def _rollout_outcome(self, move_id: str) -> str:
+        if move_id in self._outcome_by_rollout_id:
+            return self._outcome_by_rollout_id[move_id]
         move = self.configuration.moves_by_id.get(move_id)
         return str(move.status) if move else ""
 
@@ -208,11 +208,11 @@
     return f"node {node_id}" if node_id else ""
 
 
-def _keys(record: Record, services_by_move: t.Mapping[str, str]) -> set[str]:
+def _changed_keys(record: Record, service_by_rollout_id: t.Mapping[str, str]) -> set[str]:
     if isinstance(record, Configure | ConfigureV2):
         services = {f"service {name}" for name in record.services}
         return services | {f"route {path}" for path in record.routes}
     if isinstance(record, FinishRollout) and not record.taken_back:
-        service = services_by_move.get(record.move_id)
+        service = service_by_rollout_id.get(record.move_id)
         return {f"service {service}"} if service else set()
     return set()
--- a/src/bulrushflow/operators/incidents.py
+++ b/src/bulrushflow/operators/incidents.py
@@ -7,12 +7,12 @@
 
 from bulrushflow.configuration import decode_record
 from bulrushflow.configuration import digest
-from bulrushflow.operators.accounts import format_convergence
 from bulrushflow.operators.client import OperatorClient
+from bulrushflow.operators.formatting import format_convergence
 from bulrushflow.operators.history import Event
 from bulrushflow.operators.history import History
 from bulrushflow.operators.history import summarize
-from bulrushflow.operators.reading import read_records
+from bulrushflow.operators.record_reader import read_records
 from bulrushflow.operators.reports import Convergence
 from bulrushflow.operators.reports import UnrecordedDecisions
 from bulrushflow.operators.times import format_time
@@ -47,7 +47,7 @@
             pass
     history = History(found.start)
     for record in found.records:
-        history.take(record)
+        history.add(record)
     notes = list(found.notes)
     unrecorded = await _unrecorded(client, notes)
     version = history.configuration.offset
@@ -99,7 +99,7 @@
 async def _unrecorded(client: OperatorClient, notes: list[str]) -> list[str]:
     """Return what the named nodes know beyond the log; each tells only its own decisions."""
     told: list[str] = []
-    for answer in await client.get_each("/unrecorded", UnrecordedDecisions):
+    for answer in await client.get_from_each_node("/unrecorded", UnrecordedDecisions):
         match answer:
             case Err(reason):
                 notes.append(f"what a node has unrecorded is not known: {reason}")
--- a/src/bulrushflow/operators/inspecting.py
+++ b/src/bulrushflow/operators/inspecting.py
@@ -10,7 +10,7 @@
 from result import Err
 from result import Ok
 
-from bulrushflow.operators import accounts
+from bulrushflow.operators import formatting
 from bulrushflow.operators.client import OperatorClient
 from bulrushflow.operators.client import new_publish_id
 from bulrushflow.operators.documents import parse_since
@@ -30,16 +30,16 @@
 from bulrushflow.operators.options import NodeUrl
 from bulrushflow.operators.options import encode
 from bulrushflow.operators.options import encode_line
+from bulrushflow.operators.options import error_exit
 from bulrushflow.operators.options import expect
-from bulrushflow.operators.options import failure
-from bulrushflow.operators.options import get
-from bulrushflow.operators.options import usage
+from bulrushflow.operators.options import expect_valid_input
+from bulrushflow.operators.options import fetch
 from bulrushflow.operators.publishing import DocumentPath
-from bulrushflow.operators.publishing import load
-from bulrushflow.operators.reading import read_records
+from bulrushflow.operators.publishing import load_or_exit
+from bulrushflow.operators.record_reader import read_records
 from bulrushflow.operators.reports import Convergence
-from bulrushflow.operators.reports import RolloutReport
 from bulrushflow.operators.reports import NodeStatus
+from bulrushflow.operators.reports import RolloutReport
 from bulrushflow.recording import CONFIGURATION_STREAM
 
 LONG_POLL_S = 10.0
@@ -58,17 +58,17 @@
     json: JsonOutput = False
 
     def __call__(self) -> None:
-        status = asyncio.run(get(self.node_url, "/status", NodeStatus))
+        status = asyncio.run(fetch(self.node_url, "/status", NodeStatus))
         if not self.fleet:
-            print(encode(status) if self.json else accounts.format_status(status))
+            print(encode(status) if self.json else formatting.format_status(status))
             return
         path = f"/convergence?offset={status.offset}"
-        convergence = asyncio.run(get(self.node_url, path, Convergence))
+        convergence = asyncio.run(fetch(self.node_url, path, Convergence))
         if self.json:
             print(encode({"status": status, "convergence": convergence}))
         else:
-            print(accounts.format_status(status))
-            print(accounts.format_convergence(convergence))
+            print(formatting.format_status(status))
+            print(formatting.format_convergence(convergence))
         if convergence.behind or convergence.silent:
             raise cappa.Exit(code=EXIT_FAILED)
 
@@ -82,8 +82,8 @@
     json: JsonOutput = False
 
     def __call__(self) -> None:
-        account = asyncio.run(get(self.node_url, f"/moves/{self.move_id}", RolloutReport))
-        print(encode(account) if self.json else accounts.format_account(account))
+        account = asyncio.run(fetch(self.node_url, f"/moves/{self.move_id}", RolloutReport))
+        print(encode(account) if self.json else formatting.format_rollout(account))
 
 
 @cappa.command(name="history")
@@ -104,7 +104,7 @@
 
     def __call__(self) -> None:
         now_ms = time.time_ns() // 1_000_000
-        since_ms = usage(parse_since(self.since, now_ms))
+        since_ms = expect_valid_input(parse_since(self.since, now_ms))
         account = asyncio.run(self._run(since_ms, now_ms))
         print(encode(account) if self.json else format_incident(account))
 
@@ -142,7 +142,7 @@
             found = expect(await read_records(client))
             history = History(found.start)
             for record in found.records:
-                history.take(record)
+                history.add(record)
             print(f"watching from version {history.configuration.offset}", file=sys.stderr)
             while True:
                 await self._next(client, history)
@@ -154,7 +154,7 @@
                 await asyncio.sleep(RETRY_S)
             case Ok(page):
                 for record in page.records:
-                    self._print(history.take(record))
+                    self._print(history.add(record))
 
     def _print(self, event: Event) -> None:
         text = encode_line(event) if self.json else "\n".join(format_event(event))
@@ -193,11 +193,11 @@
         asyncio.run(self._run())
 
     async def _run(self) -> None:
-        record = load(self.file, new_publish_id(), "diff")
+        record = load_or_exit(self.file, new_publish_id(), "diff")
         async with OperatorClient(DEFAULT_LOG, self.node_url, 0.0) as client:
             configuration = expect(await client.configuration())
         tried = dry_run(configuration, record, time.time_ns() // 1_000_000)
         if not tried.verdict.accepted:
-            raise failure(f"would be rejected: {tried.verdict.reason}", EXIT_USAGE)
+            raise error_exit(f"would be rejected: {tried.verdict.reason}", EXIT_USAGE)
         for line in tried.differences:
             print(line)
--- a/src/bulrushflow/operators/options.py
+++ b/src/bulrushflow/operators/options.py
@@ -67,7 +67,7 @@
         return self.publish_id or new_publish_id()
 
 
-def usage(result: Result[T, str]) -> T:
+def expect_valid_input(result: Result[T, str]) -> T:
     """Return the value, or end with status 2 and the error."""
     return _unwrap(result, EXIT_USAGE)
 
@@ -77,7 +77,7 @@
     return _unwrap(result, EXIT_FAILED)
 
 
-def failure(reason: str, code: int) -> cappa.Exit:
+def error_exit(reason: str, code: int) -> cappa.Exit:
     """Tell an error on one line of standard error, and return what ends the program.
 
     The command-line library would wrap the line, which keeps scripts from finding it.
@@ -101,7 +101,7 @@
     return msgspec.json.encode(value).decode()
 
 
-async def get(node_url: str, path: str, kind: type[T]) -> T:
+async def fetch(node_url: str, path: str, kind: type[T]) -> T:
     """Ask a node once, or end with status 1."""
     async with OperatorClient(DEFAULT_LOG, node_url, 0.0) as client:
         return expect(await client.get(path, kind))
@@ -112,4 +112,4 @@
         case Ok(value):
             return value
         case Err(reason):
-            raise failure(reason, code)
+            raise error_exit(reason, code)
--- a/src/bulrushflow/operators/publishing.py
+++ b/src/bulrushflow/operators/publishing.py
@@ -18,7 +18,7 @@
 from bulrushflow.configuration import Record
 from bulrushflow.configuration import StartRollout
 from bulrushflow.configuration import WithdrawRollout
-from bulrushflow.operators import accounts
+from bulrushflow.operators import formatting
 from bulrushflow.operators.client import OperatorClient
 from bulrushflow.operators.client import new_publish_id
 from bulrushflow.operators.documents import load_document
@@ -28,10 +28,10 @@
 from bulrushflow.operators.options import EXIT_USAGE
 from bulrushflow.operators.options import RECORD_SCHEMA
 from bulrushflow.operators.options import AppendOptions
+from bulrushflow.operators.options import error_exit
 from bulrushflow.operators.options import expect
-from bulrushflow.operators.options import failure
+from bulrushflow.operators.options import expect_valid_input
 from bulrushflow.operators.options import operator_name
-from bulrushflow.operators.options import usage
 
 DocumentPath = t.Annotated[pathlib.Path, cappa.Arg(help="JSON-with-comments document")]
 
@@ -49,9 +49,9 @@
     ] = None
 
     def __call__(self) -> None:
-        record = load(self.file, new_publish_id(), "check")
+        record = load_or_exit(self.file, new_publish_id(), "check")
         if self.node_url is not None:
-            asyncio.run(try_record(self.node_url, record))
+            asyncio.run(print_dry_run(self.node_url, record))
         print(f"{self.file}: well-formed")
 
 
@@ -66,9 +66,9 @@
 
     def __call__(self) -> None:
         publish_id = self.record_id()
-        loaded = load(self.file, publish_id, operator_name(self.operator))
+        loaded = load_or_exit(self.file, publish_id, operator_name(self.operator))
         record = msgspec.structs.replace(loaded, made_at=self.made_at)
-        asyncio.run(try_record(self.node_url, record) if self.dry_run else self._run(record))
+        asyncio.run(print_dry_run(self.node_url, record) if self.dry_run else self._run(record))
 
     async def _run(self, record: Configure | ConfigureV2) -> None:
         started_at = time.monotonic()
@@ -91,7 +91,7 @@
     wait: t.Annotated[bool, cappa.Arg(long=True, help="wait for the move's end")] = False
 
     def __call__(self) -> None:
-        finish_by_ms = usage(parse_deadline(self.by, time.time_ns() // 1_000_000))
+        finish_by_ms = expect_valid_input(parse_deadline(self.by, time.time_ns() // 1_000_000))
         record = StartRollout(
             RECORD_SCHEMA,
             self.record_id(),
@@ -110,8 +110,10 @@
             offset = await publish(client, record)
             print(f"move {record.publish_id} stated at offset {offset}", flush=True)
             if self.wait:
-                account = expect(await accounts.wait_finished(client, record.publish_id, timeout_s))
-                print(accounts.format_account(account))
+                account = expect(
+                    await formatting.wait_finished(client, record.publish_id, timeout_s)
+                )
+                print(formatting.format_rollout(account))
 
 
 @dataclass
@@ -153,7 +155,7 @@
         print(f"schema level {self.level} enabled at offset {offset}")
 
 
-def load(file: pathlib.Path, publish_id: str, operator: str) -> Configure | ConfigureV2:
+def load_or_exit(file: pathlib.Path, publish_id: str, operator: str) -> Configure | ConfigureV2:
     """Load a document, or end with status 2 and every fault in it."""
     match load_document(file, publish_id, operator):
         case Ok(record):
@@ -161,17 +163,19 @@
         case Err(faults):
             for fault in faults[:-1]:
                 print(f"error: {file}: {fault}", file=sys.stderr)
-            raise failure(f"{file}: {faults[-1]}", EXIT_USAGE)
+            raise error_exit(f"{file}: {faults[-1]}", EXIT_USAGE)
 
 
-async def try_record(node_url: str, record: Record) -> None:
+async def print_dry_run(node_url: str, record: Record) -> None:
     """Fold a record onto a node's configuration here, and tell the verdict."""
     async with OperatorClient(DEFAULT_LOG, node_url, 0.0) as client:
         configuration = expect(await client.configuration())
     tried = dry_run(configuration, record, time.time_ns() // 1_000_000)
     if not tried.verdict.accepted:
         reason = tried.verdict.reason
-        raise failure(f"would be rejected at version {configuration.offset}: {reason}", EXIT_USAGE)
+        raise error_exit(
+            f"would be rejected at version {configuration.offset}: {reason}", EXIT_USAGE
+        )
     print(f"would be accepted at version {configuration.offset}")
     for line in tried.differences or ["nothing would change"]:
         print(f"  {line}")
@@ -187,5 +191,5 @@
     """Publish a record and return its offset, or end with the reason."""
     verdict = expect(await client.publish(record))
     if not verdict.accepted:
-        raise failure(f"rejected at offset {verdict.offset}: {verdict.reason}", EXIT_USAGE)
+        raise error_exit(f"rejected at offset {verdict.offset}: {verdict.reason}", EXIT_USAGE)
     return verdict.offset
--- a/src/bulrushflow/operators/reading.py
+++ b/src/bulrushflow/operators/record_reader.py
@@ -19,7 +19,7 @@
 from bulrushflow.recording import LogErrorKind
 
 
-class ReadRecords(msgspec.Struct, frozen=True):
+class LoadedRecords(msgspec.Struct, frozen=True):
     """Records in order, and the state that the first foldable one follows."""
 
     first_offset: int
@@ -28,7 +28,7 @@
     notes: list[str]
 
 
-async def read_records(client: OperatorClient) -> Result[ReadRecords, str]:
+async def read_records(client: OperatorClient) -> Result[LoadedRecords, str]:
     """Return all records that the log keeps, else those that a node holds."""
     match await _read_log(client.log):
         case Err(reason):
@@ -36,7 +36,7 @@
         case Ok((first_offset, records)):
             pass
     if first_offset == 0:
-        return Ok(ReadRecords(0, records, EMPTY_CONFIGURATION, []))
+        return Ok(LoadedRecords(0, records, EMPTY_CONFIGURATION, []))
     note = f"the log keeps no records before offset {first_offset}"
     start = _oldest_snapshot(first_offset, records)
     if start is None:
@@ -47,7 +47,7 @@
                 note += "; verdicts are those that a node remembers"
         if start.offset + 1 < first_offset:
             return Err(f"{note}, and the node holds only version {start.offset}")
-    return Ok(ReadRecords(first_offset, records, start, [note]))
+    return Ok(LoadedRecords(first_offset, records, start, [note]))
 
 
 async def _read_log(log: Log) -> Result[tuple[int, list[LogRecord]], str]:
@@ -85,23 +85,23 @@
     return None
 
 
-async def _read_node(client: OperatorClient, reason: str) -> Result[ReadRecords, str]:
+async def _read_node(client: OperatorClient, reason: str) -> Result[LoadedRecords, str]:
     """Return what a node holds; its configuration alone when it holds too few records."""
     note = f"{reason}; read from a node instead"
-    match await _read_held(client):
+    match await _read_retained(client):
         case Ok(records):
-            return Ok(ReadRecords(0, records, EMPTY_CONFIGURATION, [note]))
+            return Ok(LoadedRecords(0, records, EMPTY_CONFIGURATION, [note]))
         case Err(_):
             pass
     configuration = await client.configuration()
     return configuration.map_err(lambda error: f"{reason}; {error}").map(
-        lambda start: ReadRecords(
+        lambda start: LoadedRecords(
             start.offset + 1, [], start, [f"{note}, which does not hold the first records"]
         )
     )
 
 
-async def _read_held(client: OperatorClient) -> Result[list[LogRecord], str]:
+async def _read_retained(client: OperatorClient) -> Result[list[LogRecord], str]:
     records: list[LogRecord] = []
     while True:
         match await client.get(f"/records?from={len(records)}", list[LogRecord]):
--- a/src/bulrushflow/operators/stories.py
+++ b/src/bulrushflow/operators/request_timeline.py
@@ -21,29 +21,29 @@
     at: datetime
     process: str
     message: str
-    inputs: dict[str, t.Any]
+    fields: dict[str, t.Any]
 
     @property
     def request(self) -> str | None:
         """The request that the line tells of."""
-        return self.inputs.get("request")
+        return self.fields.get("request")
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
+class RequestTimeline:
     """What the logs say of one request, and what its nodes believed around it."""
 
     request: str
-    own: list[LogLine]
-    around: list[LogLine]
+    request_lines: list[LogLine]
+    context_lines: list[LogLine]
 
     @property
-    def ending(self) -> str:
+    def outcome_text(self) -> str:
         """How the request ended, in one line."""
-        final = [line for line in self.own if line.message in FINAL_MESSAGES]
+        final = [line for line in self.request_lines if line.message in FINAL_MESSAGES]
         if not final:
             return "no line tells its end: answered in time, or left out by the bound on lines"
-        inputs = final[-1].inputs
+        inputs = final[-1].fields
         told = [final[-1].message, *(str(inputs[k]) for k in ("status", "outcome") if k in inputs)]
         reason = inputs.get("reason")
         return ", ".join(told) + (f": {reason}" if reason else "")
@@ -67,7 +67,7 @@
     return LogLine(at, process, message, inputs)
 
 
-def tell(request: str, lines: t.Sequence[str], around_s: float) -> Story | None:
+def build_timeline(request: str, lines: t.Sequence[str], around_s: float) -> RequestTimeline | None:
     """Return the story of a request; ``None`` when no line names it.
 
     :param around_s: seconds before and after the request's own lines.
@@ -78,7 +78,7 @@
         return None
     own.sort(key=lambda line: line.at)
     nodes = {line.process for line in own}
-    nodes.update(line.inputs["node"] for line in own if "node" in line.inputs)
+    nodes.update(line.fields["node"] for line in own if "node" in line.fields)
     first = own[0].at - timedelta(seconds=around_s)
     last = own[-1].at + timedelta(seconds=around_s)
     around = []
@@ -86,18 +86,20 @@
         line = parse_line(text) if '"request"' not in text else None
         if line is not None and line.process in nodes and first <= line.at <= last:
             around.append(line)
-    return Story(request, own, around)
+    return RequestTimeline(request, own, around)
 
 
-def format_story(story: Story) -> str:
+def format_timeline(story: RequestTimeline) -> str:
     """Return a story as text; the request's own lines are marked."""
-    marked = [(line, ">") for line in story.own] + [(line, " ") for line in story.around]
+    marked = [(line, ">") for line in story.request_lines] + [
+        (line, " ") for line in story.context_lines
+    ]
     marked.sort(key=lambda item: item[0].at)
     told = [f"{mark} {_format_line(line)}" for line, mark in marked]
-    return "\n".join([f"request {story.request}: {story.ending}", *told])
+    return "\n".join([f"request {story.request}: {story.outcome_text}", *told])
 
 
 def _format_line(line: LogLine) -> str:
-    inputs = " ".join(f"{k}={v}" for k, v in line.inputs.items() if k != "request")
+    inputs = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != "request")
     at = line.at.strftime("%H:%M:%S.%f")[:-3]
     return f"{at} {line.process} {line.message} {inputs}".rstrip()
--- a/src/bulrushflow/operators/story_command.py
+++ b/src/bulrushflow/operators/story_command.py
@@ -11,10 +11,10 @@
 from result import Result
 
 from bulrushflow.operators.options import EXIT_FAILED
-from bulrushflow.operators.options import failure
-from bulrushflow.operators.options import usage
-from bulrushflow.operators.stories import format_story
-from bulrushflow.operators.stories import tell
+from bulrushflow.operators.options import error_exit
+from bulrushflow.operators.options import expect_valid_input
+from bulrushflow.operators.request_timeline import build_timeline
+from bulrushflow.operators.request_timeline import format_timeline
 
 AROUND_S = 2.0
 STANDARD_INPUT = "-"
@@ -39,11 +39,13 @@
     def __call__(self) -> None:
         lines: list[str] = []
         for name in self.logs:
-            lines += usage(_read(name))
-        story = tell(self.request, lines, self.around_s)
+            lines += expect_valid_input(_read(name))
+        story = build_timeline(self.request, lines, self.around_s)
         if story is None:
-            raise failure(f"none of {len(lines)} lines names request {self.request}", EXIT_FAILED)
-        print(format_story(story))
+            raise error_exit(
+                f"none of {len(lines)} lines names request {self.request}", EXIT_FAILED
+            )
+        print(format_timeline(story))
 
 
 def _read(name: str) -> Result[list[str], str]:
--- a/src/bulrushflow/standins/load.py
+++ b/src/bulrushflow/standins/load.py
@@ -25,7 +25,7 @@
 SIGNIFICANT_FIGURES = 3
 CALL_TIMEOUT_S = 15.0
 LATE_SEND_S = 0.005
-YIELD_S = 0.0015
+BUSY_WAIT_S = 0.0015
 """The event loop wakes up to a millisecond late, so the last wait yields instead of sleeping."""
 TENANTS = ("members", "stewards", "treasurer")
 
@@ -161,8 +161,8 @@
 
 async def _sleep_until(due_at: float) -> None:
     left_s = due_at - time.monotonic()
-    if left_s > YIELD_S:
-        await asyncio.sleep(left_s - YIELD_S)
+    if left_s > BUSY_WAIT_S:
+        await asyncio.sleep(left_s - BUSY_WAIT_S)
     while time.monotonic() < due_at:  # noqa: ASYNC110, since only the clock tells
         await asyncio.sleep(0)
 
@@ -198,13 +198,13 @@
         calls.not_run_ids.add(call.request_id)
     elif outcome is not None:
         summary.unknown += 1
-    elif _check_answer(calls, call, response.status, answer):
+    elif _check_response(calls, call, response.status, answer):
         calls.answered_histogram.record_value(max(1, int(seconds * 1_000_000)))
         if seconds <= timeout_s:
             summary.in_time += 1
 
 
-def _check_answer(calls: Calls, call: PlannedCall, status: int, answer: bytes) -> bool:
+def _check_response(calls: Calls, call: PlannedCall, status: int, answer: bytes) -> bool:
     """Count an answer; return whether it is the call's own and no error."""
     summary = calls.summary
     try:
--- a/src/bulrushflow/standins/log.py
+++ b/src/bulrushflow/standins/log.py
@@ -81,9 +81,9 @@
     async def append(self, request: web.Request) -> web.Response:
         """Append the body as one record."""
         body = await request.read()
-        if await self._failing():
+        if await self._is_down():
             return _error(503, "unavailable")
-        if not self._take_token():
+        if not self._consume_token():
             return _error(429, f"more than {self._appends_per_s:g} appends/s")
         self.appends += 1
         stream = self._stream(request)
@@ -104,7 +104,7 @@
 
     async def read(self, request: web.Request) -> web.Response:
         """Return records from an offset or from the tail, waiting for the first if asked."""
-        if await self._failing():
+        if await self._is_down():
             return _error(503, "unavailable")
         self.reads += 1
         stream = self._stream(request)
@@ -117,7 +117,7 @@
                 await asyncio.wait_for(stream.changed.wait(), wait_ms / 1000)
             except TimeoutError:
                 pass
-            if await self._failing():
+            if await self._is_down():
                 return _error(503, "unavailable")
         if from_offset < stream.first_offset:
             return web.json_response(
@@ -151,12 +151,12 @@
         _drop_older(stream, self._retained_s)
         return stream
 
-    async def _failing(self) -> bool:
+    async def _is_down(self) -> bool:
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms / 1000)
         return self.faults.down
 
-    def _take_token(self) -> bool:
+    def _consume_token(self) -> bool:
         now = time.monotonic()
         earned = (now - self._refilled_at) * self._appends_per_s
         self._tokens = min(self._appends_per_s, self._tokens + earned)
--- a/src/bulrushflow/standins/target.py
+++ b/src/bulrushflow/standins/target.py
@@ -20,7 +20,7 @@
 from bulrushflow.targets.client import REQUEST_ID_HEADER
 from bulrushflow.targets.client import TENANT_HEADER
 
-RENEW_S = 0.5
+ANNOUNCE_PERIOD_S = 0.5
 ANSWER_BYTES = 300
 MAX_RUNS = 200_000
 DRAIN_POLL_S = 0.05
@@ -114,7 +114,7 @@
                 {"error": "shed"}, status=503, headers={OUTCOME_HEADER: NOT_RUN_VALUE}
             )
         async with self._slot:
-            return await self._occupy(request, body)
+            return await self._run_counted(request, body)
 
     async def list_runs(self, _: web.Request) -> web.Response:
         """Answer with every run so far."""
@@ -138,12 +138,12 @@
         """Claim to be healthy, whatever calls show."""
         return web.json_response({"healthy": True, "in_flight": 0})
 
-    async def listening(self, port: int) -> None:
+    async def on_listening(self, port: int) -> None:
         """Begin to announce."""
         self._port = port
-        self._announcing = asyncio.get_running_loop().create_task(self._announce_often())
+        self._announcing = asyncio.get_running_loop().create_task(self._announce_periodically())
 
-    async def stopping(self) -> None:
+    async def on_stopping(self) -> None:
         """Announce the drain, then wait until the node has no admitted call left."""
         self._draining = True
         for _ in range(MAX_DRAIN_POLLS):
@@ -153,7 +153,7 @@
         if self._announcing is not None:
             self._announcing.cancel()
 
-    async def _occupy(self, request: web.Request, body: bytes) -> web.StreamResponse:
+    async def _run_counted(self, request: web.Request, body: bytes) -> web.StreamResponse:
         self.in_flight += 1
         try:
             return await self._run(request, body)
@@ -170,7 +170,7 @@
         delay_ms = behaviour.work_ms
         if faulty and self._rng.random() < behaviour.slow_share:
             delay_ms += behaviour.slow_ms
-        answer = self._answer(request, request_id, body)
+        answer = self._response_body(request, request_id, body)
         self._record(Run(request_id, digest(body), digest(answer)))
         await asyncio.sleep(delay_ms / 1000)
         lost = faulty and self._rng.random() < behaviour.lose_answer_share
@@ -179,7 +179,7 @@
         status = 500 if faulty and self._rng.random() < behaviour.error_share else 200
         return web.Response(status=status, body=answer, content_type="application/json")
 
-    def _answer(self, request: web.Request, request_id: str, body: bytes) -> bytes:
+    def _response_body(self, request: web.Request, request_id: str, body: bytes) -> bytes:
         answer = {
             "request_id": request_id,
             "tenant": request.headers.get(TENANT_HEADER, ""),
@@ -209,10 +209,10 @@
         cold = time.monotonic() - self._started_at < self._cold_s
         return "cold" if cold else "ready"
 
-    async def _announce_often(self) -> None:
+    async def _announce_periodically(self) -> None:
         while True:
             await self._announce()
-            await asyncio.sleep(RENEW_S)
+            await asyncio.sleep(ANNOUNCE_PERIOD_S)
 
     async def _announce(self) -> int | None:
         """Announce, and return the calls that the node has in flight here; ``None`` on failure."""
@@ -277,8 +277,8 @@
             self.address,
             self.port,
             "standin-target",
-            standin.listening,
-            standin.stopping,
+            standin.on_listening,
+            standin.on_stopping,
             handler_cancellation=True,
         )
 
--- a/tests/operators/test_history.py
+++ b/tests/operators/test_history.py
@@ -43,7 +43,7 @@
 def events(*records: Record | bytes) -> list[Event]:
     history = History(EMPTY_CONFIGURATION)
     for record in log_records(*records):
-        history.take(record)
+        history.add(record)
     return history.events()
 
 
@@ -95,10 +95,10 @@
         records = log_records(PLOTS, DANGLING, START)
         whole = History(EMPTY_CONFIGURATION)
         for record in records[:2]:
-            whole.take(record)
+            whole.add(record)
         late = History(whole.configuration)
         for record in records[1:]:
-            late.take(record)
+            late.add(record)
         verdicts = [e.verdict for e in late.events()]
         self.assertTrue(verdicts[0].startswith("rejected"), verdicts)
         self.assertEqual(verdicts[1], "accepted")
@@ -110,7 +110,7 @@
     def test_what_is_told_agrees_with_what_nodes_hold(self, log: list[LogRecord]) -> None:
         history = History(EMPTY_CONFIGURATION)
         for record in log:
-            history.take(record)
+            history.add(record)
         folded = fold_records(EMPTY_CONFIGURATION, log)
         held = folded.configuration
         self.assertEqual(digest(history.configuration), digest(held))
--- a/tests/operators/test_stories.py
+++ b/tests/operators/test_request_timeline.py
@@ -8,9 +8,9 @@
 import cappa
 
 from bulrushflow.operators.commands import Bulrushflow
-from bulrushflow.operators.stories import format_story
-from bulrushflow.operators.stories import parse_line
-from bulrushflow.operators.stories import tell
+from bulrushflow.operators.request_timeline import build_timeline
+from bulrushflow.operators.request_timeline import format_timeline
+from bulrushflow.operators.request_timeline import parse_line
 
 
 def line(second: float, process: str, message: str, **inputs: object) -> str:
@@ -41,25 +41,25 @@
 
 class StoryTests(unittest.TestCase):
     def test_a_story_has_the_requests_lines_in_order_and_its_nodes_beliefs(self) -> None:
-        story = tell("r-1", LINES, 2.0)
+        story = build_timeline("r-1", LINES, 2.0)
         assert story is not None
         self.assertEqual(
-            [found.message for found in story.own],
+            [found.message for found in story.request_lines],
             ["call refused", "attempt failed", "call failed"],
         )
-        self.assertEqual([found.process for found in story.around], ["n-2"])
-        told = format_story(story).splitlines()
+        self.assertEqual([found.process for found in story.context_lines], ["n-2"])
+        told = format_timeline(story).splitlines()
         self.assertEqual(told[0], "request r-1: call failed, 503, not_run: full")
         self.assertEqual(told[1], "  00:00:09.500 n-2 target announced target=t-2")
         self.assertEqual(told[2], "> 00:00:10.100 n-2 call refused reason=full load=38")
 
     def test_a_request_whose_end_is_not_told_is_said_to_be_so(self) -> None:
-        story = tell("r-10", LINES, 0.0)
+        story = build_timeline("r-10", LINES, 0.0)
         assert story is not None
-        self.assertIn("no line tells its end", story.ending)
+        self.assertIn("no line tells its end", story.outcome_text)
 
     def test_a_request_that_no_line_names_has_no_story(self) -> None:
-        self.assertIsNone(tell("r", LINES, 2.0))
+        self.assertIsNone(build_timeline("r", LINES, 2.0))
 
     def test_what_is_no_structured_line_is_passed_over(self) -> None:
         for text in ("", "{", "[1]", "{}", '{"time": 1, "process": "n", "message": "m"}'):
