--- a/src/bulrushflow/operators/__init__.py
+++ b/src/bulrushflow/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Operators: the node's endpoint for them, and their command line."""
+"""The node's HTTP endpoint for operators and the ``bulrushflow`` command line."""
--- a/src/bulrushflow/operators/client.py
+++ b/src/bulrushflow/operators/client.py
@@ -1,4 +1,4 @@
-"""The command line's requests to the log and to nodes."""
+"""Client of the command line for the log and for nodes' operator endpoints."""
 
 import asyncio
 import random
@@ -44,15 +44,15 @@
 
 
 def new_publish_id() -> str:
-    """Return an id under which repeated appends of one record count once."""
+    """Return a random id; appends of one record under the same id take effect once."""
     return uuid.uuid4().hex[:16]
 
 
 class OperatorClient:
-    """Publishes to the log, and asks nodes what became of it.
+    """Publishes records to the log, and queries nodes for the results.
 
-    :param node_urls: operator URLs of nodes, with commas; the first that answers is asked.
-    :param timeout_s: seconds after which a publish or a wait gives up.
+    :param node_urls: operator URLs of nodes, separated by commas; the first that responds is used.
+    :param timeout_s: seconds from construction after which publishes and waits time out.
     """
 
     def __init__(self, log_url: str, node_urls: str, timeout_s: float) -> None:
@@ -72,11 +72,12 @@
         await self.log.close()
 
     async def publish(self, record: Record) -> Result[Verdict, str]:
-        """Append a record, again after lost answers, and wait for its verdict."""
+        """Append a record, with retries after lost responses, and wait for its verdict."""
         backoff_s = APPEND_BACKOFF_S
         while True:
             if record.made_at is None:
-                # Stated once and kept, or a late repeat could not be told from a new record.
+                # Set once and kept for all retries, since a late retry with another version
+                # could not be distinguished from a new record.
                 record = msgspec.structs.replace(record, made_at=await self._newest_version())
             match await self.log.append(CONFIGURATION_STREAM, encode_record(record)):
                 case Ok(_):
@@ -93,52 +94,55 @@
             backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
     async def wait_in_force(self, offset: int) -> Result[Convergence, str]:
-        """Wait until a version is in force on every member that the node knows."""
+        """Wait until a version is in force on every member in the node's member table."""
         while True:
             match await self.get(f"/convergence?offset={offset}", Convergence):
                 case Ok(convergence) if not convergence.behind and not convergence.silent:
                     return Ok(convergence)
                 case Ok(convergence):
-                    seen = f"behind: {convergence.behind}, silent: {convergence.silent}"
+                    last_result = f"behind: {convergence.behind}, silent: {convergence.silent}"
                 case Err(reason):
-                    seen = reason
+                    last_result = reason
             if time.monotonic() >= self._deadline:
                 return Err(
                     f"version {offset} was accepted, but is not known to be in force on every "
-                    f"node: {seen}"
+                    f"node: {last_result}"
                 )
             await asyncio.sleep(POLL_S)
 
     async def get(self, path: str, kind: type[T]) -> Result[T, str]:
-        """Ask a node; the error is what it said or why it could not be asked."""
-        answer = await self.get_bytes(path)
-        return answer.and_then(lambda body: _decode(body, kind))
+        """Return a node's decoded response; the error is the node's or that of the connection."""
+        result = await self.get_bytes(path)
+        return result.and_then(lambda body: _decode(body, kind))
 
     async def configuration(self) -> Result[Configuration, str]:
-        """Return the configuration that a node holds."""
-        answer = await self.get_bytes("/configuration")
-        return answer.and_then(_decode_configuration)
+        """Return the configuration in force on a node."""
+        result = await self.get_bytes("/configuration")
+        return result.and_then(_decode_configuration)
 
     async def get_bytes(self, path: str) -> Result[bytes, str]:
-        """Return the body of the first node that answers at all."""
+        """Return the body from the first node that responds, an error for a status other than 200.
+
+        Nodes that can't be reached are skipped.
+        """
         reasons = []
         for url in self._node_urls:
-            answer = await self._request(url, path)
-            if answer.is_ok():
-                return answer.and_then(_body)
-            reasons.append(answer.unwrap_err())
+            result = await self._request(url, path)
+            if result.is_ok():
+                return result.and_then(_body)
+            reasons.append(result.unwrap_err())
         return Err("; ".join(reasons))
 
     async def get_from_each_node(self, path: str, kind: type[T]) -> list[Result[T, str]]:
-        """Ask every node that was named, and return their answers in that order."""
-        answers = []
+        """Return the decoded responses of all given nodes, in their order."""
+        results = []
         for url in self._node_urls:
-            answer = await self._request(url, path)
-            answers.append(answer.and_then(_body).and_then(lambda body: _decode(body, kind)))
-        return answers
+            result = await self._request(url, path)
+            results.append(result.and_then(_body).and_then(lambda body: _decode(body, kind)))
+        return results
 
     async def _request(self, url: str, path: str) -> Result[_NodeResponse, str]:
-        """Return one node's answer, whatever its status."""
+        """Return one node's response, whatever its status."""
         try:
             async with self._session.get(url + path) as response:
                 return Ok(_NodeResponse(url, response.status, await response.read()))
@@ -146,7 +150,7 @@
             return Err(f"the node at {url} could not be asked: {exc!r}")
 
     async def _newest_version(self) -> int | None:
-        """Return the version that a node holds, else the log's end; ``None`` when neither tells."""
+        """Return a node's current version, else the log's newest offset; ``None`` without both."""
         match await self.get("/status", _CurrentVersion):
             case Ok(status):
                 return status.offset
@@ -167,14 +171,17 @@
                     pass
             if time.monotonic() >= self._deadline:
                 return Err(
-                    "the log has the record, but no node told its verdict: "
+                    "the log has the record, but no node returned its verdict: "
                     f"{reason}; {_retry_advice(record)}"
                 )
             await asyncio.sleep(POLL_S)
 
 
 def _check_verdict(verdict: Verdict, record: Record) -> Result[Verdict, str]:
-    """Make sure that a verdict is on this record, not on another under the same publish id."""
+    """Return the verdict; an error when it is on another record under the same publish id.
+
+    A verdict without a digest is accepted.
+    """
     if verdict.record_digest in ("", record_digest(record)):
         return Ok(verdict)
     return Err(
@@ -191,23 +198,23 @@
     )
 
 
-def _body(answer: _NodeResponse) -> Result[bytes, str]:
-    if answer.status == OK_STATUS:
-        return Ok(answer.body)
-    text = _error_text(answer.body)
-    return Err(f"the node at {answer.url} answered {answer.status}: {text}")
+def _body(response: _NodeResponse) -> Result[bytes, str]:
+    if response.status == OK_STATUS:
+        return Ok(response.body)
+    text = _error_text(response.body)
+    return Err(f"the node at {response.url} answered {response.status}: {text}")
 
 
 def _decode(body: bytes, kind: type[T]) -> Result[T, str]:
     try:
         return Ok(msgspec.json.decode(body, type=kind))
     except msgspec.DecodeError as exc:
-        return Err(f"the node's answer was not understood: {exc}")
+        return Err(f"the node's response can't be decoded: {exc}")
 
 
 def _decode_configuration(body: bytes) -> Result[Configuration, str]:
     decoded = decode_configuration(body, SUPPORTED_SCHEMA)
-    return decoded.map_err(lambda error: f"the node's configuration was not understood: {error}")
+    return decoded.map_err(lambda error: f"the node's configuration can't be decoded: {error}")
 
 
 def _error_text(body: bytes) -> str:
--- a/src/bulrushflow/operators/commands.py
+++ b/src/bulrushflow/operators/commands.py
@@ -36,10 +36,10 @@
 @cappa.command(name="bulrushflow")
 @dataclass
 class Bulrushflow:
-    """Publish configuration and state moves, and ask what became of them.
+    """Publish configuration, start moves, and inspect their results.
 
     Exit status: 0 done, 1 not done or not confirmed, 2 wrong usage, bad input or a rejected
-    record. Errors go to standard error, one a line.
+    record. Errors go to standard error, one per line.
     """
 
     subcommand: cappa.Subcommands[Subcommand]
--- a/src/bulrushflow/operators/documents.py
+++ b/src/bulrushflow/operators/documents.py
@@ -1,4 +1,4 @@
-"""Operators' documents and deadlines, checked before anything is published."""
+"""Parsing of operators' configuration documents, deadlines and times."""
 
 import datetime
 import pathlib
@@ -19,7 +19,7 @@
 
 DOCUMENT_SCHEMA = 1
 METHOD_IDEMPOTENCY_SCHEMA = 2
-"""From this schema on, routes state seconds, and idempotency by method."""
+"""From this schema on, routes have ``timeout_s`` and ``idempotent_methods``."""
 ALL_METHODS = "*"
 
 _DURATION = re.compile(r"^(\d+(?:\.\d+)?)([smhd])$")
@@ -29,9 +29,9 @@
 def load_document(
     path: pathlib.Path, publish_id: str, operator: str
 ) -> Result[Configure | ConfigureV2, list[str]]:
-    """Read a document with the keys ``services``, ``routes`` and, if wanted, ``base``.
+    """Read a document with the keys ``services``, ``routes`` and, optionally, ``base``.
 
-    The key ``schema`` names the shape it is written in.
+    The key ``schema`` is the schema of the document, 1 by default. Errors say which key is wrong.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -43,17 +43,17 @@
         return Err([f"not JSON with comments: {exc}"])
     if not isinstance(raw, dict):
         return Err(["$: expected an object"])
-    own = {
+    header = {
         "kind": "configure",
         "publish_id": publish_id,
         "operator": operator,
         "schema": raw.get("schema", DOCUMENT_SCHEMA),
     }
-    match decode_record(msgspec.json.encode({**raw, **own})):
+    match decode_record(msgspec.json.encode({**raw, **header})):
         case Ok(Configure() | ConfigureV2() as record):
             return Ok(record)
         case Ok(other):
-            return Err([f"$: {type(other).__name__} is no configuration"])
+            return Err([f"$: {type(other).__name__} is not a configuration document"])
         case Err(reason):
             return Err([reason])
 
@@ -61,16 +61,18 @@
 def parse_deadline(text: str, now_ms: int) -> Result[int, str]:
     """Return epoch milliseconds for ``+30s``, ``+10m``, ``+2h`` or an ISO 8601 time."""
     if text.startswith("+"):
-        ahead_ms = _duration_ms(text[1:])
-        if ahead_ms is not None:
-            return Ok(now_ms + ahead_ms)
+        duration_ms = _duration_ms(text[1:])
+        if duration_ms is not None:
+            return Ok(now_ms + duration_ms)
     return _parse_time(text, "+30s, +10m, +2h")
 
 
 def parse_since(text: str, now_ms: int) -> Result[int, str]:
     """Return epoch milliseconds for ``30s``, ``10m``, ``2h`` or ``7d`` ago or an ISO 8601 time."""
-    ago_ms = _duration_ms(text)
-    return _parse_time(text, "30s, 10m, 2h, 7d") if ago_ms is None else Ok(now_ms - ago_ms)
+    duration_ms = _duration_ms(text)
+    return (
+        _parse_time(text, "30s, 10m, 2h, 7d") if duration_ms is None else Ok(now_ms - duration_ms)
+    )
 
 
 def _duration_ms(text: str) -> int | None:
@@ -86,12 +88,12 @@
     except ValueError:
         return Err(f"{text!r} is neither {durations} nor an ISO 8601 time")
     if moment.tzinfo is None:
-        return Err(f"{text!r} names no time zone")
+        return Err(f"{text!r} has no time zone")
     return Ok(int(moment.timestamp() * 1000))
 
 
 def to_document(configuration: Configuration) -> dict[str, t.Any]:
-    """Return a document that states what is in force, based on the offsets held.
+    """Return a document of what is in force, with the present offsets as its ``base``.
 
     Publishing it after somebody else's change is rejected.
     """
--- a/src/bulrushflow/operators/dry_run.py
+++ b/src/bulrushflow/operators/dry_run.py
@@ -1,4 +1,4 @@
-"""What a record would do to a configuration, without publishing it."""
+"""Dry runs: the verdict on a record and the changes it would make, without publishing it."""
 
 import typing as t
 
@@ -15,14 +15,14 @@
 
 
 class DryRun(msgspec.Struct, frozen=True):
-    """The verdict on a record, and a line for each service and route that it would change."""
+    """The verdict on a record, and one line per service and route that it would change."""
 
     verdict: Verdict
     differences: list[str]
 
 
 def dry_run(configuration: Configuration, record: Record, now_ms: int) -> DryRun:
-    """Fold a record onto a configuration by the rules that nodes use."""
+    """Fold a record onto a configuration by the same rules as nodes do."""
     if record.made_at is None:
         record = msgspec.structs.replace(record, made_at=configuration.offset)
     log_record = LogRecord(configuration.offset + 1, now_ms, encode_record(record))
@@ -35,7 +35,7 @@
 
 
 def differences(before: Configuration, after: Configuration) -> list[str]:
-    """Return what differs in services and routes, a line a key."""
+    """Return the differences in services and routes, one line per key."""
     services = _differences("service", before.services_by_name, after.services_by_name)
     return services + _differences("route", before.routes_by_path, after.routes_by_path)
 
--- a/src/bulrushflow/operators/endpoint.py
+++ b/src/bulrushflow/operators/endpoint.py
@@ -1,4 +1,4 @@
-"""The node's HTTP endpoint for operators: status, accounts of moves, convergence, metrics."""
+"""The node's HTTP endpoint for operators: status, rollouts, convergence, metrics."""
 
 import asyncio
 import typing as t
@@ -35,7 +35,7 @@
 
 
 class OperatorEndpoint:
-    """Answers operators from this node's own state."""
+    """Serves operators' requests from this node's own state."""
 
     def __init__(
         self,
@@ -71,12 +71,12 @@
         return app
 
     async def ready(self, _: web.Request) -> web.Response:
-        """Answer 200 when the node takes calls, else 503."""
+        """Respond with 200 when the node takes calls, else 503."""
         ready = self._is_ready()
         return web.json_response({"ready": ready}, status=200 if ready else 503)
 
     async def status(self, _: web.Request) -> web.Response:
-        """Answer with :class:`NodeStatus`."""
+        """Respond with :class:`NodeStatus`."""
         own = self._table.own
         members = [_member_status(m) for m in self._table.by_id.values()]
         status = NodeStatus(
@@ -94,52 +94,54 @@
         return _json(status)
 
     async def configuration(self, _: web.Request) -> web.Response:
-        """Answer with the configuration in force."""
+        """Respond with the configuration in force."""
         body = encode_configuration(self._store.current)
         return web.Response(body=body, content_type="application/json")
 
     async def records(self, request: web.Request) -> web.Response:
-        """Answer with the log's records from an offset on, 410 when some are not held."""
+        """Respond with the log's records from an offset on, 410 when some are not retained."""
         match _parse_offset(request, "from"):
             case Err(reason):
                 return _bad_request(reason)
             case Ok(from_offset):
                 pass
-        held = self._store.records_from(from_offset)
-        if held is None:
-            return web.json_response({"error": "not held any more"}, status=410)
-        return _json(held)
+        records = self._store.records_from(from_offset)
+        if records is None:
+            return web.json_response(
+                {"error": f"records from offset {from_offset} are no longer retained"}, status=410
+            )
+        return _json(records)
 
     async def unrecorded(self, _: web.Request) -> web.Response:
-        """Answer with :class:`UnrecordedDecisions`."""
-        accounts = [self._rollout_report(m) for m in self._store.current.active_rollouts()]
+        """Respond with :class:`UnrecordedDecisions`."""
+        reports = [self._rollout_report(r) for r in self._store.current.active_rollouts()]
         return _json(
             UnrecordedDecisions(
                 self._table.own_id,
                 [msgspec.Raw(encode_record(r)) for r in self._recorder.pending_records()],
-                [a for a in accounts if a.taken_back],
+                [r for r in reports if r.taken_back],
             )
         )
 
     async def verdict(self, request: web.Request) -> web.Response:
-        """Answer with the verdict on a publish id, 404 while there is none."""
+        """Respond with the verdict on a publish id, 404 while there is none."""
         publish_id = request.match_info["publish_id"]
         verdict: Verdict | None = self._store.current.verdicts_by_publish_id.get(publish_id)
         return _json(verdict) if verdict else _not_found(f"no verdict on {publish_id}")
 
     async def moves(self, _: web.Request) -> web.Response:
-        """Answer with all moves in the configuration."""
+        """Respond with all rollouts in the configuration."""
         return _json(list(self._store.current.moves_by_id.values()))
 
     async def move(self, request: web.Request) -> web.Response:
-        """Answer with :class:`RolloutReport`."""
-        move = self._store.current.moves_by_id.get(request.match_info["move_id"])
-        if move is None:
-            return _not_found("unknown move")
-        return _json(self._rollout_report(move))
+        """Respond with :class:`RolloutReport`, 404 for an unknown id."""
+        rollout = self._store.current.moves_by_id.get(request.match_info["move_id"])
+        if rollout is None:
+            return _not_found(f"unknown move {request.match_info['move_id']}")
+        return _json(self._rollout_report(rollout))
 
     async def convergence(self, request: web.Request) -> web.Response:
-        """Ask every member which version it holds; answer with :class:`Convergence`."""
+        """Probe all live members for their version, and respond with :class:`Convergence`."""
         match _parse_offset(request, "offset"):
             case Err(reason):
                 return _bad_request(reason)
@@ -151,21 +153,21 @@
             async with semaphore:
                 return await self._gossip.probe(member)
 
-        others = self._table.live_peers()
-        held = await asyncio.gather(*(probe(m) for m in others))
-        by_id = dict(zip((m.node_id for m in others), held, strict=True))
+        peers = self._table.live_peers()
+        versions = await asyncio.gather(*(probe(m) for m in peers))
+        by_id = dict(zip((m.node_id for m in peers), versions, strict=True))
         by_id[self._table.own_id] = self._store.current.offset
         return _json(
             Convergence(
                 offset,
-                sum(1 for h in by_id.values() if h is not None and h >= offset),
-                sorted(n for n, h in by_id.items() if h is not None and h < offset),
-                sorted(n for n, h in by_id.items() if h is None),
+                sum(1 for v in by_id.values() if v is not None and v >= offset),
+                sorted(n for n, v in by_id.items() if v is not None and v < offset),
+                sorted(n for n, v in by_id.items() if v is None),
             )
         )
 
     async def metrics(self, request: web.Request) -> web.Response:
-        """Answer with the metrics in Prometheus's text format."""
+        """Respond with the metrics in Prometheus's text format."""
         self._update_gauges()
         return await self._metrics.serve(request)
 
@@ -176,24 +178,24 @@
         self._metrics.ready.set({}, int(self._is_ready()))
         self._metrics.unrecorded.set({}, len(self._recorder.pending_records()))
 
-    def _rollout_report(self, move: Rollout) -> RolloutReport:
-        shared = self._shared_rollouts.by_offset.get(move.offset)
-        prefix = f"{move.move_id}/"
-        unrecorded = [r.publish_id for r in self._recorder.pending_records()]
+    def _rollout_report(self, rollout: Rollout) -> RolloutReport:
+        shared = self._shared_rollouts.by_offset.get(rollout.offset)
+        prefix = f"{rollout.move_id}/"
+        pending_ids = [r.publish_id for r in self._recorder.pending_records()]
         return RolloutReport(
-            move,
-            _traffic_share(move, self._shared_rollouts),
-            shared.rolled_back if shared else move.status is RolloutStatus.ROLLED_BACK,
+            rollout,
+            _traffic_share_permille(rollout, self._shared_rollouts),
+            shared.rolled_back if shared else rollout.status is RolloutStatus.ROLLED_BACK,
             shared.reason if shared else "",
-            shared.decided_by if shared else move.decided_by,
-            [u for u in unrecorded if u.startswith(prefix)],
+            shared.decided_by if shared else rollout.decided_by,
+            [i for i in pending_ids if i.startswith(prefix)],
         )
 
 
-def _traffic_share(move: Rollout, shared_rollouts: SharedRollouts) -> int:
-    if move.status is RolloutStatus.ACTIVE:
-        return shared_rollouts.share_permille(move.offset)
-    return 1000 if move.status is RolloutStatus.COMPLETED else 0
+def _traffic_share_permille(rollout: Rollout, shared_rollouts: SharedRollouts) -> int:
+    if rollout.status is RolloutStatus.ACTIVE:
+        return shared_rollouts.share_permille(rollout.offset)
+    return 1000 if rollout.status is RolloutStatus.COMPLETED else 0
 
 
 def _member_status(member: Member) -> MemberStatus:
--- a/src/bulrushflow/operators/history.py
+++ b/src/bulrushflow/operators/history.py
@@ -1,6 +1,6 @@
-"""The account of what happened, from the log's records: events, their authors and outcomes.
+"""The history of the configuration, from the log's records: events, their authors and outcomes.
 
-Pure: records and a state to begin with go in, events come out.
+Pure code: it does no input or output.
 """
 
 import typing as t
@@ -29,33 +29,33 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One record of the log as the review reads it."""
+    """One record of the log, as shown to operators."""
 
     offset: int
     at_ms: int
     kind: str
     by: str
-    """``operator NAME``, ``node ID``, or empty when the record does not say."""
+    """``operator NAME``, ``node ID``, or empty when the record has neither."""
     publish_id: str
     summary: str
     verdict: str
     """``accepted``, ``rejected``, ``repeat``, ``unchanged`` or ``not judged``, with the reason."""
     evidence: str = ""
     became: str = ""
-    """What came of it later."""
+    """The record's outcome so far: whether it is in force or replaced, or how its move ended."""
 
 
 class History:
-    """Takes records in the log's order, and tells what each was and what became of it.
+    """Folds records in the log's order, and collects an event for each.
 
-    :param start: state before the first record that can be folded; records up to its offset are
-        told with the verdicts that the state remembers.
+    :param start: state before the first record that can be folded; the events of records up to
+        its offset have the verdicts that this state contains.
     """
 
     def __init__(self, start: Configuration) -> None:
         self.configuration = start
         self.next_offset = start.offset + 1
-        """Offset of the record that comes after those taken."""
+        """Offset of the record that follows those added."""
         self._start_offset = start.offset
         self._unsupported = ""
         self._events: list[Event] = []
@@ -63,12 +63,12 @@
         self._keys_by_offset: dict[int, set[str]] = {}
         self._latest_offset_by_key: dict[str, int] = {}
         self._service_by_rollout_id: dict[str, str] = {
-            move.move_id: move.service for move in start.moves_by_id.values()
+            rollout.move_id: rollout.service for rollout in start.moves_by_id.values()
         }
         self._outcome_by_rollout_id: dict[str, str] = {}
 
     def add(self, log_record: LogRecord) -> Event:
-        """Add the next record and return its event, as far as it is known by now.
+        """Add the next record and return its event, without the outcome.
 
         :raises InvariantError: when a record is missing.
         """
@@ -86,7 +86,7 @@
         return event
 
     def events(self) -> list[Event]:
-        """Return all events, each with what became of it."""
+        """Return all events, each with its outcome so far."""
         return [msgspec.structs.replace(e, became=self._outcome(e)) for e in self._events]
 
     def _event(self, log_record: LogRecord, record: Record) -> Event:
@@ -105,7 +105,7 @@
         )
 
     def _unreadable_event(self, log_record: LogRecord, reason: str) -> Event:
-        """Return the event of a record of which at most the header can be read."""
+        """Return the event of a record of which at most the header can be decoded."""
         match decode_header(log_record.body):
             case Ok(header):
                 kind, publish_id = header.kind, header.publish_id
@@ -125,9 +125,9 @@
     def _verdict(self, offset: int, publish_id: str) -> str:
         if self._unsupported and offset > self.configuration.offset:
             return f"not judged: {self._unsupported}"
-        held = self.configuration.verdicts_by_publish_id.get(publish_id)
-        if held is not None:
-            self._verdicts_by_publish_id[publish_id] = held
+        current = self.configuration.verdicts_by_publish_id.get(publish_id)
+        if current is not None:
+            self._verdicts_by_publish_id[publish_id] = current
         verdict: Verdict | None = self._verdicts_by_publish_id.get(publish_id)
         if verdict is None:
             return "unchanged" if offset > self._start_offset else NOT_JUDGED
@@ -152,21 +152,21 @@
         keys = self._keys_by_offset.get(event.offset)
         if not keys:
             return ""
-        replaced = {k: h for k in keys if (h := self._latest_offset_by_key[k]) != event.offset}
+        replaced = {k: o for k in keys if (o := self._latest_offset_by_key[k]) != event.offset}
         if not replaced:
             return "in force"
-        told = ", ".join(f"{key} by offset {holder}" for key, holder in sorted(replaced.items()))
-        return f"replaced: {told}" if len(replaced) == len(keys) else f"replaced in part: {told}"
+        text = ", ".join(f"{key} by offset {offset}" for key, offset in sorted(replaced.items()))
+        return f"replaced: {text}" if len(replaced) == len(keys) else f"replaced in part: {text}"
 
     def _rollout_outcome(self, move_id: str) -> str:
         if move_id in self._outcome_by_rollout_id:
             return self._outcome_by_rollout_id[move_id]
-        move = self.configuration.moves_by_id.get(move_id)
-        return str(move.status) if move else ""
+        rollout = self.configuration.moves_by_id.get(move_id)
+        return str(rollout.status) if rollout else ""
 
 
 def summarize(record: Record) -> str:
-    """Return what a record says, in one line."""
+    """Return a record's content as one line of text."""
     if isinstance(record, EnableSchema):
         return f"enable schema level {record.level}"
     if isinstance(record, StartRollout):
--- a/src/bulrushflow/operators/incidents.py
+++ b/src/bulrushflow/operators/incidents.py
@@ -1,4 +1,4 @@
-"""The whole account of a time: the log's events, and what nodes know beyond the log."""
+"""Incident reports: the log's events in a period, and decisions that are not on the log yet."""
 
 import msgspec
 from result import Err
@@ -19,36 +19,40 @@
 
 
 class IncidentReport(msgspec.Struct, frozen=True):
-    """Who stated what, what the system decided, on what evidence, and what is not on the log."""
+    """What operators published, what the system decided on which evidence, and what is pending."""
 
     asked_at_ms: int
     since_ms: int
     first_offset: int
-    """The first offset that could be read; earlier records are not in this account."""
+    """The first offset that could be read; earlier records are not in this report."""
     version: int
     digest: str
     events: list[Event]
     unrecorded: list[str]
-    """Decisions that a node knows and the log does not have yet."""
+    """Decisions that a node has made or received and that are not on the log yet, as text."""
     convergence: Convergence | None
     notes: list[str]
-    """What limits this account, such as a log that could not be read."""
+    """Limitations of this report, such as a log that could not be read."""
 
 
 async def build_incident_report(
     client: OperatorClient, since_ms: int, now_ms: int
 ) -> Result[IncidentReport, str]:
-    """Read the log, or a node where the log can't be read, and a node's own knowledge."""
-    read = await read_records(client)
-    match read:
+    """Build a report of the events since a time, in epoch milliseconds.
+
+    Records are read from the log, or from a node while the log can't be read; unrecorded
+    decisions come from the nodes that the client was given.
+    """
+    result = await read_records(client)
+    match result:
         case Err(reason):
             return Err(reason)
-        case Ok(found):
+        case Ok(loaded):
             pass
-    history = History(found.start)
-    for record in found.records:
+    history = History(loaded.start)
+    for record in loaded.records:
         history.add(record)
-    notes = list(found.notes)
+    notes = list(loaded.notes)
     unrecorded = await _unrecorded(client, notes)
     version = history.configuration.offset
     convergence = await client.get(f"/convergence?offset={version}", Convergence)
@@ -58,7 +62,7 @@
         IncidentReport(
             now_ms,
             since_ms,
-            found.first_offset,
+            loaded.first_offset,
             version,
             digest(history.configuration),
             [e for e in history.events() if e.at_ms >= since_ms],
@@ -69,15 +73,15 @@
     )
 
 
-def format_incident(account: IncidentReport) -> str:
-    """Return the account as text, an event a paragraph."""
-    lines = [f"account since {format_time(account.since_ms)}, version {account.version}"]
-    lines += [f"note: {note}" for note in account.notes]
-    for event in account.events:
+def format_incident(report: IncidentReport) -> str:
+    """Return the report as text, one paragraph per event."""
+    lines = [f"account since {format_time(report.since_ms)}, version {report.version}"]
+    lines += [f"note: {note}" for note in report.notes]
+    for event in report.events:
         lines += format_event(event)
-    lines += [f"not yet on the log: {told}" for told in account.unrecorded]
-    if account.convergence is not None:
-        lines.append(format_convergence(account.convergence))
+    lines += [f"not yet on the log: {decision}" for decision in report.unrecorded]
+    if report.convergence is not None:
+        lines.append(format_convergence(report.convergence))
     return "\n".join(lines)
 
 
@@ -97,26 +101,29 @@
 
 
 async def _unrecorded(client: OperatorClient, notes: list[str]) -> list[str]:
-    """Return what the named nodes know beyond the log; each tells only its own decisions."""
-    told: list[str] = []
-    for answer in await client.get_from_each_node("/unrecorded", UnrecordedDecisions):
-        match answer:
+    """Return the decisions that are not on the log yet; each node reports only its own.
+
+    A node that can't be asked adds a note.
+    """
+    lines: list[str] = []
+    for result in await client.get_from_each_node("/unrecorded", UnrecordedDecisions):
+        match result:
             case Err(reason):
-                notes.append(f"what a node has unrecorded is not known: {reason}")
-            case Ok(account):
-                told += _unrecorded_lines(account)
-    return list(dict.fromkeys(told))
+                notes.append(f"the unrecorded decisions of a node are not known: {reason}")
+            case Ok(report):
+                lines += _unrecorded_lines(report)
+    return list(dict.fromkeys(lines))
 
 
-def _unrecorded_lines(account: UnrecordedDecisions) -> list[str]:
+def _unrecorded_lines(report: UnrecordedDecisions) -> list[str]:
     lines = [
         f"move {m.move.move_id} taken back by {m.decided_by}: {m.taken_back_reason}"
-        for m in account.taken_back
+        for m in report.taken_back
     ]
-    for raw in account.records:
+    for raw in report.records:
         match decode_record(bytes(raw)):
             case Ok(record):
-                lines.append(f"{record.publish_id} of node {account.node_id}: {summarize(record)}")
+                lines.append(f"{record.publish_id} of node {report.node_id}: {summarize(record)}")
             case Err(reason):
-                lines.append(f"a record of node {account.node_id} that is not understood: {reason}")
+                lines.append(f"a record of node {report.node_id} that can't be decoded: {reason}")
     return lines
--- a/src/bulrushflow/operators/inspecting.py
+++ b/src/bulrushflow/operators/inspecting.py
@@ -1,4 +1,4 @@
-"""Commands that change nothing: status, why, history, watch, get, diff."""
+"""Commands that only read: status, why, history, watch, get, diff."""
 
 import asyncio
 import sys
@@ -48,9 +48,9 @@
 
 @dataclass
 class Status:
-    """Show what one node knows: itself, the members, what is unrecorded.
+    """Show one node's status: itself, its member table, and records that are not on the log yet.
 
-    With --fleet, every member is asked which version it holds; status 1 when some lag.
+    With --fleet, every member is asked for its version; status 1 when some lag or do not respond.
     """
 
     fleet: t.Annotated[bool, cappa.Arg(long=True, help="ask every member for its version")] = False
@@ -75,24 +75,24 @@
 
 @dataclass
 class Why:
-    """Tell a move's account: steps, times, offsets, evidence and rules."""
+    """Show the history of a move: steps, times, offsets, evidence and rules."""
 
     move_id: t.Annotated[str, cappa.Arg(help="the move's id")]
     node_url: NodeUrl = DEFAULT_NODE
     json: JsonOutput = False
 
     def __call__(self) -> None:
-        account = asyncio.run(fetch(self.node_url, f"/moves/{self.move_id}", RolloutReport))
-        print(encode(account) if self.json else formatting.format_rollout(account))
+        report = asyncio.run(fetch(self.node_url, f"/moves/{self.move_id}", RolloutReport))
+        print(encode(report) if self.json else formatting.format_rollout(report))
 
 
 @cappa.command(name="history")
 @dataclass
 class HistoryCommand:
-    """Tell what happened: who published or stated what, and what the system decided and why.
+    """Show the history: who published what, and what the system decided and why.
 
-    The account comes from the log, or from a node while the log can't be read. It says what
-    became of each record, and which decisions are not on the log yet.
+    It is read from the log, or from a node while the log can't be read. It has the outcome of
+    each record, and the decisions that are not on the log yet.
     """
 
     since: t.Annotated[
@@ -105,8 +105,8 @@
     def __call__(self) -> None:
         now_ms = time.time_ns() // 1_000_000
         since_ms = expect_valid_input(parse_since(self.since, now_ms))
-        account = asyncio.run(self._run(since_ms, now_ms))
-        print(encode(account) if self.json else format_incident(account))
+        report = asyncio.run(self._run(since_ms, now_ms))
+        print(encode(report) if self.json else format_incident(report))
 
     async def _run(self, since_ms: int, now_ms: int) -> t.Any:
         async with OperatorClient(self.log_url, self.node_url, 0.0) as client:
@@ -115,10 +115,11 @@
 
 @dataclass
 class Watch:
-    """Follow the log: print each version and each move's step as it is recorded."""
+    """Follow the log: print each record as it is appended, and its verdict."""
 
     seconds: t.Annotated[
-        float | None, cappa.Arg(long=True, help="end after so many seconds; default: never")
+        float | None,
+        cappa.Arg(long=True, help="seconds after which the command ends; default: never"),
     ] = None
     log_url: LogUrl = DEFAULT_LOG
     node_url: NodeUrl = DEFAULT_NODE
@@ -133,21 +134,21 @@
     async def _run(self) -> None:
         try:
             async with asyncio.timeout(self.seconds):
-                await self._follow()
+                await self._print_events()
         except TimeoutError:
             return
 
-    async def _follow(self) -> None:
+    async def _print_events(self) -> None:
         async with OperatorClient(self.log_url, self.node_url, 0.0) as client:
-            found = expect(await read_records(client))
-            history = History(found.start)
-            for record in found.records:
+            loaded = expect(await read_records(client))
+            history = History(loaded.start)
+            for record in loaded.records:
                 history.add(record)
             print(f"watching from version {history.configuration.offset}", file=sys.stderr)
             while True:
-                await self._next(client, history)
+                await self._print_next_page(client, history)
 
-    async def _next(self, client: OperatorClient, history: History) -> None:
+    async def _print_next_page(self, client: OperatorClient, history: History) -> None:
         match await client.log.read(CONFIGURATION_STREAM, history.next_offset, LONG_POLL_S):
             case Err(error):
                 print(f"the log could not be read: {error.message}", file=sys.stderr)
@@ -165,7 +166,7 @@
 class Get:
     """Print the configuration in force as a document, ready to be edited and published.
 
-    It names the versions it is based on, so that publishing it after somebody else's change is
+    It contains the offsets it is based on, so that publishing it after somebody else's change is
     rejected.
     """
 
@@ -181,7 +182,7 @@
 
 @dataclass
 class Diff:
-    """Print what a document would change in the configuration in force.
+    """Print the changes that a document would make to the configuration in force.
 
     Status 2 when it would be rejected.
     """
@@ -196,8 +197,8 @@
         record = load_or_exit(self.file, new_publish_id(), "diff")
         async with OperatorClient(DEFAULT_LOG, self.node_url, 0.0) as client:
             configuration = expect(await client.configuration())
-        tried = dry_run(configuration, record, time.time_ns() // 1_000_000)
-        if not tried.verdict.accepted:
-            raise error_exit(f"would be rejected: {tried.verdict.reason}", EXIT_USAGE)
-        for line in tried.differences:
+        result = dry_run(configuration, record, time.time_ns() // 1_000_000)
+        if not result.verdict.accepted:
+            raise error_exit(f"would be rejected: {result.verdict.reason}", EXIT_USAGE)
+        for line in result.differences:
             print(line)
--- a/src/bulrushflow/operators/options.py
+++ b/src/bulrushflow/operators/options.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: options, exit status, and the way errors are told."""
+"""Options, exit statuses, error reporting and JSON output shared by the operators' commands."""
 
 import getpass
 import sys
@@ -33,18 +33,18 @@
     cappa.Arg(
         long="--node",
         default=cappa.Env("BULRUSHFLOW_NODE", default=DEFAULT_NODE),
-        help="operator URL of a node, or several with commas: the first that answers is asked; "
+        help="operator URL of a node, or several with commas: the first that responds is used; "
         "or BULRUSHFLOW_NODE",
     ),
 ]
-TimeoutS = t.Annotated[float, cappa.Arg(long=True, help="give up after so many seconds")]
+TimeoutS = t.Annotated[float, cappa.Arg(long=True, help="seconds after which the command fails")]
 Operator = t.Annotated[str | None, cappa.Arg(long=True, help="who publishes; default: the user")]
 PublishId = t.Annotated[
-    str | None, cappa.Arg(long=True, help="id to publish under, to repeat an unconfirmed publish")
+    str | None, cappa.Arg(long=True, help="id to publish under, to retry an unconfirmed publish")
 ]
 MadeAt = t.Annotated[
     int | None,
-    cappa.Arg(long=True, help="version the record was made at, when an error said to repeat it"),
+    cappa.Arg(long=True, help="version the record was made at, as an error gave it for a retry"),
 ]
 JsonOutput = t.Annotated[bool, cappa.Arg(long=True, help="machine-readable output")]
 
@@ -78,16 +78,16 @@
 
 
 def error_exit(reason: str, code: int) -> cappa.Exit:
-    """Tell an error on one line of standard error, and return what ends the program.
+    """Print an error on one line of standard error, and return the exception that ends the program.
 
-    The command-line library would wrap the line, which keeps scripts from finding it.
+    The command-line library would wrap the line, so that scripts could not match it.
     """
     print(f"error: {reason}", file=sys.stderr)
     return cappa.Exit(code=code)
 
 
 def operator_name(given: str | None) -> str:
-    """Return who publishes: the name given, or the user of the operating system."""
+    """Return the operator's name: the one given, or the user of the operating system."""
     return given or getpass.getuser()
 
 
@@ -102,7 +102,7 @@
 
 
 async def fetch(node_url: str, path: str, kind: type[T]) -> T:
-    """Ask a node once, or end with status 1."""
+    """Return a node's decoded response, or end with status 1; without retries."""
     async with OperatorClient(DEFAULT_LOG, node_url, 0.0) as client:
         return expect(await client.get(path, kind))
 
--- a/src/bulrushflow/operators/publishing.py
+++ b/src/bulrushflow/operators/publishing.py
@@ -1,4 +1,4 @@
-"""Commands that append records: publish, move, withdraw, enable a schema; and checks of them."""
+"""Commands that append records (publish, move, withdraw, enable-schema), and the check command."""
 
 import asyncio
 import pathlib
@@ -40,12 +40,12 @@
 class Check:
     """Check a configuration document without publishing it.
 
-    With --node, the document is also tried on the configuration that the node holds.
+    With --node, a dry run on the configuration of that node follows.
     """
 
     file: DocumentPath
     node_url: t.Annotated[
-        str | None, cappa.Arg(long="--node", help="operator URL of a node to try it against")
+        str | None, cappa.Arg(long="--node", help="operator URL of a node for a dry run")
     ] = None
 
     def __call__(self) -> None:
@@ -61,7 +61,10 @@
 
     file: DocumentPath
     dry_run: t.Annotated[
-        bool, cappa.Arg(long=True, help="try it on the node's configuration, publish nothing")
+        bool,
+        cappa.Arg(
+            long=True, help="show the result on the node's configuration and publish nothing"
+        ),
     ] = False
 
     def __call__(self) -> None:
@@ -81,7 +84,7 @@
 
 @dataclass
 class Move(AppendOptions):
-    """Move a service to another target version by a deadline."""
+    """Move a service's traffic to another target version by a deadline."""
 
     service: t.Annotated[str, cappa.Arg(help="service to move")]
     to: t.Annotated[str, cappa.Arg(long=True, help="version to move to")]
@@ -110,18 +113,18 @@
             offset = await publish(client, record)
             print(f"move {record.publish_id} stated at offset {offset}", flush=True)
             if self.wait:
-                account = expect(
+                report = expect(
                     await formatting.wait_finished(client, record.publish_id, timeout_s)
                 )
-                print(formatting.format_rollout(account))
+                print(formatting.format_rollout(report))
 
 
 @dataclass
 class Withdraw(AppendOptions):
-    """Take a move back."""
+    """Withdraw a move; all traffic returns to the old version."""
 
     move_id: t.Annotated[str, cappa.Arg(help="the move's id")]
-    reason: t.Annotated[str, cappa.Arg(long=True, help="reason for the account")] = ""
+    reason: t.Annotated[str, cappa.Arg(long=True, help="reason to record")] = ""
 
     def __call__(self) -> None:
         record = WithdrawRollout(
@@ -139,7 +142,7 @@
 @cappa.command(name="enable-schema")
 @dataclass
 class EnableSchemaLevel(AppendOptions):
-    """Allow records of a schema level from now on; every node must support it."""
+    """Allow records of a schema level from now on; every node must support that level."""
 
     level: t.Annotated[int, cappa.Arg(help="schema level to enable")]
 
@@ -156,39 +159,45 @@
 
 
 def load_or_exit(file: pathlib.Path, publish_id: str, operator: str) -> Configure | ConfigureV2:
-    """Load a document, or end with status 2 and every fault in it."""
+    """Load a document, or end with status 2 and print its errors."""
     match load_document(file, publish_id, operator):
         case Ok(record):
             return record
-        case Err(faults):
-            for fault in faults[:-1]:
-                print(f"error: {file}: {fault}", file=sys.stderr)
-            raise error_exit(f"{file}: {faults[-1]}", EXIT_USAGE)
+        case Err(errors):
+            for error in errors[:-1]:
+                print(f"error: {file}: {error}", file=sys.stderr)
+            raise error_exit(f"{file}: {errors[-1]}", EXIT_USAGE)
 
 
 async def print_dry_run(node_url: str, record: Record) -> None:
-    """Fold a record onto a node's configuration here, and tell the verdict."""
+    """Fold a record onto a node's configuration locally, and print the changes.
+
+    Ends with status 2 when the record would be rejected.
+    """
     async with OperatorClient(DEFAULT_LOG, node_url, 0.0) as client:
         configuration = expect(await client.configuration())
-    tried = dry_run(configuration, record, time.time_ns() // 1_000_000)
-    if not tried.verdict.accepted:
-        reason = tried.verdict.reason
+    result = dry_run(configuration, record, time.time_ns() // 1_000_000)
+    if not result.verdict.accepted:
+        reason = result.verdict.reason
         raise error_exit(
             f"would be rejected at version {configuration.offset}: {reason}", EXIT_USAGE
         )
     print(f"would be accepted at version {configuration.offset}")
-    for line in tried.differences or ["nothing would change"]:
+    for line in result.differences or ["nothing would change"]:
         print(f"  {line}")
 
 
 async def publish_once(log_url: str, node_url: str, timeout_s: float, record: Record) -> int:
-    """Publish one record and return its offset, or end with the reason."""
+    """Publish one record with a client of its own; see :func:`publish`."""
     async with OperatorClient(log_url, node_url, timeout_s) as client:
         return await publish(client, record)
 
 
 async def publish(client: OperatorClient, record: Record) -> int:
-    """Publish a record and return its offset, or end with the reason."""
+    """Publish a record and return its offset.
+
+    Ends with status 1 when the record is not confirmed, 2 when it is rejected.
+    """
     verdict = expect(await client.publish(record))
     if not verdict.accepted:
         raise error_exit(f"rejected at offset {verdict.offset}: {verdict.reason}", EXIT_USAGE)
--- a/src/bulrushflow/operators/record_reader.py
+++ b/src/bulrushflow/operators/record_reader.py
@@ -1,4 +1,4 @@
-"""Reading the configuration records: from the log, or from a node while the log can't be read."""
+"""Reads the configuration records from the log, or from a node while the log can't be read."""
 
 import typing as t
 
@@ -20,7 +20,7 @@
 
 
 class LoadedRecords(msgspec.Struct, frozen=True):
-    """Records in order, and the state that the first foldable one follows."""
+    """Records in order, the state before the first one that can be folded, and limitations."""
 
     first_offset: int
     records: list[LogRecord]
@@ -29,7 +29,7 @@
 
 
 async def read_records(client: OperatorClient) -> Result[LoadedRecords, str]:
-    """Return all records that the log keeps, else those that a node holds."""
+    """Return all records that the log retains, else those that a node retains."""
     match await _read_log(client.log):
         case Err(reason):
             return await _read_node(client, reason)
@@ -44,14 +44,17 @@
             case Err(reason):
                 return Err(f"{note}, it has no usable snapshot, and {reason}")
             case Ok(start):
-                note += "; verdicts are those that a node remembers"
+                note += "; verdicts are those in a node's configuration"
         if start.offset + 1 < first_offset:
-            return Err(f"{note}, and the node holds only version {start.offset}")
+            return Err(f"{note}, and the node has only version {start.offset}")
     return Ok(LoadedRecords(first_offset, records, start, [note]))
 
 
 async def _read_log(log: Log) -> Result[tuple[int, list[LogRecord]], str]:
-    """Return the oldest offset that the log keeps, and all records from it on."""
+    """Return the oldest offset that the log retains, and all records from it on.
+
+    Starts over when the log was trimmed up to a later offset meanwhile.
+    """
     first_offset = 0
     records: list[LogRecord] = []
     while True:
@@ -70,7 +73,10 @@
 
 
 def _oldest_snapshot(first_offset: int, records: t.Iterable[LogRecord]) -> Configuration | None:
-    """Return the first snapshot whose next record is kept, so that most can be folded."""
+    """Return the first usable snapshot whose next record is retained.
+
+    The first one lets the most records be folded.
+    """
     for log_record in records:
         match decode_record(log_record.body):
             case Ok(Snapshot() as snapshot) if snapshot.state_offset + 1 >= first_offset:
@@ -86,7 +92,7 @@
 
 
 async def _read_node(client: OperatorClient, reason: str) -> Result[LoadedRecords, str]:
-    """Return what a node holds; its configuration alone when it holds too few records."""
+    """Return a node's records; only its configuration when it does not retain all records."""
     note = f"{reason}; read from a node instead"
     match await _read_retained(client):
         case Ok(records):
@@ -96,7 +102,7 @@
     configuration = await client.configuration()
     return configuration.map_err(lambda error: f"{reason}; {error}").map(
         lambda start: LoadedRecords(
-            start.offset + 1, [], start, [f"{note}, which does not hold the first records"]
+            start.offset + 1, [], start, [f"{note}, which no longer has the first records"]
         )
     )
 
--- a/src/bulrushflow/operators/reports.py
+++ b/src/bulrushflow/operators/reports.py
@@ -1,4 +1,4 @@
-"""What a node tells operators: the shapes shared by its endpoint and the command line."""
+"""JSON reports of a node's operator endpoint, as the command line decodes them."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """One member as one node knows it."""
+    """One member, as recorded in one node's member table."""
 
     node_id: str
     data_centre: str
@@ -19,7 +19,7 @@
 
 
 class NodeStatus(msgspec.Struct, frozen=True):
-    """What one node says of itself and of the members that it knows."""
+    """One node's own status, and its member table."""
 
     program_version: str
     node_id: str
@@ -29,14 +29,14 @@
     digest: str
     members: list[MemberStatus]
     unrecorded: list[str]
-    """Publish ids of this node's own records that the log is not known to have."""
+    """Publish ids of this node's records that the log has not confirmed."""
     schema_level: int = 1
     unsupported: str = ""
-    """Why this release can't apply the next record; empty when it can."""
+    """Why this release can't apply the next record, else empty."""
 
 
 class Convergence(msgspec.Struct, frozen=True):
-    """On how many members a version is in force, and which ones lag or did not answer."""
+    """On how many members a version is in force, and which ones lag or did not respond."""
 
     offset: int
     in_force: int
@@ -45,7 +45,7 @@
 
 
 class RolloutReport(msgspec.Struct, frozen=True):
-    """A move as the log has it, and what one node knows beyond that."""
+    """A rollout as recorded on the log, and one node's state of it that is not on the log yet."""
 
     move: Rollout
     share_permille: int
@@ -56,10 +56,10 @@
 
 
 class UnrecordedDecisions(msgspec.Struct, frozen=True):
-    """Decisions that one node knows and the log is not known to have."""
+    """Decisions in one node's state that the log has not confirmed."""
 
     node_id: str
     records: list[msgspec.Raw]
-    """This node's own records that wait to be appended, in the log's form."""
+    """This node's records that wait to be appended, encoded as on the log."""
     taken_back: list[RolloutReport]
-    """Moves that were taken back without a final record on the log yet."""
+    """Rollouts that were rolled back and have no final record on the log yet."""
--- a/src/bulrushflow/operators/request_timeline.py
+++ b/src/bulrushflow/operators/request_timeline.py
@@ -1,4 +1,4 @@
-"""The story of one request, from the log lines of all nodes."""
+"""The timeline of one request, from the structured log lines of all nodes."""
 
 import typing as t
 from dataclasses import dataclass
@@ -7,8 +7,8 @@
 
 import msgspec
 
-_OWN_FIELDS = frozenset({"time", "level", "process", "module", "message"})
-"""Fields that every line has; the others are the inputs of its decision."""
+_COMMON_FIELDS = frozenset({"time", "level", "process", "module", "message"})
+"""Fields of every line. ``LogLine.fields`` has the others, the inputs of the logged decision."""
 FINAL_MESSAGES = frozenset(
     {"call failed", "call answered", "call answered late", "target answered with an error"}
 )
@@ -25,13 +25,13 @@
 
     @property
     def request(self) -> str | None:
-        """The request that the line tells of."""
+        """Id of the request that the line is about, if any."""
         return self.fields.get("request")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestTimeline:
-    """What the logs say of one request, and what its nodes believed around it."""
+    """The log lines of one request, and other lines of its nodes from about the same time."""
 
     request: str
     request_lines: list[LogLine]
@@ -39,20 +39,20 @@
 
     @property
     def outcome_text(self) -> str:
-        """How the request ended, in one line."""
+        """The request's outcome as one line of text."""
         final = [line for line in self.request_lines if line.message in FINAL_MESSAGES]
         if not final:
-            return "no line tells its end: answered in time, or left out by the bound on lines"
-        inputs = final[-1].fields
-        told = [final[-1].message, *(str(inputs[k]) for k in ("status", "outcome") if k in inputs)]
-        reason = inputs.get("reason")
-        return ", ".join(told) + (f": {reason}" if reason else "")
+            return "no line has its end: answered in time, or left out by the limit on log lines"
+        fields = final[-1].fields
+        parts = [final[-1].message, *(str(fields[k]) for k in ("status", "outcome") if k in fields)]
+        reason = fields.get("reason")
+        return ", ".join(parts) + (f": {reason}" if reason else "")
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Decode a line; what a collector wrote before the object is passed over.
+    """Decode a structured line; a collector's prefix before the JSON object is ignored.
 
-    :return: ``None`` when it is no structured line.
+    :return: ``None`` for any other text.
     """
     start = text.find("{")
     if start < 0:
@@ -63,43 +63,44 @@
         process, message = str(fields["process"]), str(fields["message"])
     except (msgspec.MsgspecError, KeyError, ValueError, TypeError):
         return None
-    inputs = {k: v for k, v in fields.items() if k not in _OWN_FIELDS}
-    return LogLine(at, process, message, inputs)
+    own_fields = {k: v for k, v in fields.items() if k not in _COMMON_FIELDS}
+    return LogLine(at, process, message, own_fields)
 
 
 def build_timeline(request: str, lines: t.Sequence[str], around_s: float) -> RequestTimeline | None:
-    """Return the story of a request; ``None`` when no line names it.
+    """Return the timeline of a request; ``None`` when no line has its id.
 
-    :param around_s: seconds before and after the request's own lines.
+    :param around_s: seconds before and after the request's lines from which other lines of its
+        nodes are included.
     """
     found = [parse_line(text) for text in lines if request in text]
-    own = [line for line in found if line is not None and line.request == request]
-    if not own:
+    request_lines = [line for line in found if line is not None and line.request == request]
+    if not request_lines:
         return None
-    own.sort(key=lambda line: line.at)
-    nodes = {line.process for line in own}
-    nodes.update(line.fields["node"] for line in own if "node" in line.fields)
-    first = own[0].at - timedelta(seconds=around_s)
-    last = own[-1].at + timedelta(seconds=around_s)
-    around = []
+    request_lines.sort(key=lambda line: line.at)
+    nodes = {line.process for line in request_lines}
+    nodes.update(line.fields["node"] for line in request_lines if "node" in line.fields)
+    first = request_lines[0].at - timedelta(seconds=around_s)
+    last = request_lines[-1].at + timedelta(seconds=around_s)
+    context_lines = []
     for text in lines:
         line = parse_line(text) if '"request"' not in text else None
         if line is not None and line.process in nodes and first <= line.at <= last:
-            around.append(line)
-    return RequestTimeline(request, own, around)
+            context_lines.append(line)
+    return RequestTimeline(request, request_lines, context_lines)
 
 
-def format_timeline(story: RequestTimeline) -> str:
-    """Return a story as text; the request's own lines are marked."""
-    marked = [(line, ">") for line in story.request_lines] + [
-        (line, " ") for line in story.context_lines
+def format_timeline(timeline: RequestTimeline) -> str:
+    """Return a timeline as text; the request's own lines are marked with ``>``."""
+    marked = [(line, ">") for line in timeline.request_lines] + [
+        (line, " ") for line in timeline.context_lines
     ]
     marked.sort(key=lambda item: item[0].at)
-    told = [f"{mark} {_format_line(line)}" for line, mark in marked]
-    return "\n".join([f"request {story.request}: {story.outcome_text}", *told])
+    texts = [f"{mark} {_format_line(line)}" for line, mark in marked]
+    return "\n".join([f"request {timeline.request}: {timeline.outcome_text}", *texts])
 
 
 def _format_line(line: LogLine) -> str:
-    inputs = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != "request")
+    fields = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != "request")
     at = line.at.strftime("%H:%M:%S.%f")[:-3]
-    return f"{at} {line.process} {line.message} {inputs}".rstrip()
+    return f"{at} {line.process} {line.message} {fields}".rstrip()
--- a/src/bulrushflow/operators/story_command.py
+++ b/src/bulrushflow/operators/story_command.py
@@ -1,4 +1,4 @@
-"""The command that tells a request's story from log files."""
+"""The command ``story``, which shows a request's timeline from log files."""
 
 import pathlib
 import sys
@@ -23,9 +23,10 @@
 @cappa.command(name="story")
 @dataclass
 class StoryCommand:
-    """Tell what became of one request, from the nodes' log files.
+    """Show the timeline of one request, from the nodes' log files.
 
-    Shows the request's own lines, marked, and what the nodes that it touched believed around it.
+    The request's own lines are marked. The other lines are state changes of the nodes that
+    handled it, from about the same time.
     """
 
     request: t.Annotated[str, cappa.Arg(help="the request's id")]
@@ -40,12 +41,12 @@
         lines: list[str] = []
         for name in self.logs:
             lines += expect_valid_input(_read(name))
-        story = build_timeline(self.request, lines, self.around_s)
-        if story is None:
+        timeline = build_timeline(self.request, lines, self.around_s)
+        if timeline is None:
             raise error_exit(
                 f"none of {len(lines)} lines names request {self.request}", EXIT_FAILED
             )
-        print(format_timeline(story))
+        print(format_timeline(timeline))
 
 
 def _read(name: str) -> Result[list[str], str]:
--- a/tests/operators/test_endpoint.py
+++ b/tests/operators/test_endpoint.py
@@ -54,10 +54,10 @@
             "/verdicts/other": (404, "no verdict on other"),
             "/moves": (200, '"move_id":"m"'),
             "/moves/m": (200, '"share_permille":0'),
-            "/moves/other": (404, "unknown move"),
+            "/moves/other": (404, "unknown move other"),
             "/records?from=0": (200, '"offset":0'),
             "/records?from=99": (200, "[]"),
-            "/records?from=-5": (410, "not held"),
+            "/records?from=-5": (410, "records from offset -5 are no longer retained"),
             "/records?from=x": (400, "from must be a number"),
             "/records": (400, "from must be a number"),
             "/unrecorded": (200, '"records":[]'),
@@ -139,4 +139,4 @@
         self.assertIn("no records before offset 2", account.notes[0])
         self.node.store.current = EMPTY_CONFIGURATION
         reason = (await build_incident_report(self.client, 0, 1)).unwrap_err()
-        self.assertIn("the node holds only version -1", reason)
+        self.assertIn("the node has only version -1", reason)
--- a/tests/operators/test_publishing.py
+++ b/tests/operators/test_publishing.py
@@ -39,7 +39,7 @@
             self.log.faults.down = False
             async with OperatorClient(self.log_url, NOBODY, 0.1) as client:
                 reason = (await client.publish(PLOTS)).unwrap_err()
-            self.assertIn("no node told its verdict", reason)
+            self.assertIn("no node returned its verdict", reason)
         with self.subTest("the first node that answers is asked"):
             urls = f"{NOBODY},{self.operator_url}"
             async with OperatorClient(self.log_url, urls, 5.0) as client:
--- a/tests/operators/test_request_timeline.py
+++ b/tests/operators/test_request_timeline.py
@@ -56,7 +56,7 @@
     def test_a_request_whose_end_is_not_told_is_said_to_be_so(self) -> None:
         story = build_timeline("r-10", LINES, 0.0)
         assert story is not None
-        self.assertIn("no line tells its end", story.outcome_text)
+        self.assertIn("no line has its end", story.outcome_text)
 
     def test_a_request_that_no_line_names_has_no_story(self) -> None:
         self.assertIsNone(build_timeline("r", LINES, 2.0))
