--- a/tests/operators/nodes.py
+++ b/tests/operators/nodes.py
@@ -1,4 +1,4 @@
-"""A real node and a stand-in log inside the test's own loop."""
+"""A test case with a real node and a stand-in log in the test's event loop."""
 
 import typing as t
 import unittest
@@ -19,7 +19,7 @@
 
 
 class NodeTestCase(unittest.IsolatedAsyncioTestCase):
-    """Gives each test one node on ports that the system picks."""
+    """Starts a log and one node for each test, on ports that the system picks."""
 
     log_down_at_start = False
 
@@ -54,11 +54,11 @@
         self.addAsyncCleanup(self.session.close)
 
     async def get(self, path: str) -> tuple[int, str]:
-        """Return the status and the body."""
+        """Return the status and the body of the node's response."""
         async with self.session.get(self.operator_url + path) as response:
             return response.status, await response.text()
 
     async def get_json(self, path: str) -> t.Any:
-        """Return a decoded answer."""
+        """Return the decoded JSON body of the node's response."""
         _, body = await self.get(path)
         return msgspec.json.decode(body)
--- a/tests/operators/test_client.py
+++ b/tests/operators/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of publishing: the verdict must be on the record that was published."""
+"""Tests of publishing: the verdict returned must be on the record that was published."""
 
 import unittest
 
@@ -30,7 +30,7 @@
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         self.node_url = f"http://127.0.0.1:{runner.addresses[0][1]}"
 
-    async def test_repeats_count_once_and_another_record_under_the_id_is_told_so(self) -> None:
+    async def test_a_retry_counts_once_and_another_record_under_its_id_is_an_error(self) -> None:
         async with OperatorClient(self.bench.url, self.node_url, GUARD_S) as client:
             self.assertTrue((await client.publish(FIRST)).unwrap().accepted)
             self.assertEqual((await client.publish(FIRST)).unwrap().offset, 0)
@@ -38,7 +38,7 @@
         self.assertIn("used for another record, at offset 0 by ana", reason)
         self.assertEqual(self.store.current.services_by_name["plots"].version, "v1")
 
-    async def test_a_lost_answer_is_repeated_with_the_same_made_at(self) -> None:
+    async def test_a_retry_after_a_lost_response_has_the_same_made_at(self) -> None:
         await self.bench.set_faults(lose=2)
         async with OperatorClient(self.bench.url, self.node_url, GUARD_S) as client:
             self.assertEqual((await client.publish(FIRST)).unwrap().offset, 0)
--- a/tests/operators/test_documents.py
+++ b/tests/operators/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of operators' documents and times."""
+"""Tests of configuration documents, dry runs and times."""
 
 import pathlib
 import tempfile
@@ -36,7 +36,7 @@
     def in_force(self, text: str) -> Configuration:
         return fold(EMPTY_CONFIGURATION, LogRecord(0, NOW_MS, encode_record(self.load(text))))
 
-    def test_faults_are_told_with_their_place(self) -> None:
+    def test_errors_say_what_is_wrong_and_where(self) -> None:
         cases = {
             "not JSON": "{",
             "expected an object": "[]",
@@ -50,23 +50,23 @@
         for expected, text in cases.items():
             with self.subTest(expected):
                 self.path.write_text(text, encoding="utf-8")
-                faults = load_document(self.path, "p", "ana").unwrap_err()
-                self.assertIn(expected, "\n".join(faults))
+                errors = load_document(self.path, "p", "ana").unwrap_err()
+                self.assertIn(expected, "\n".join(errors))
 
-    def test_a_missing_file_is_a_fault(self) -> None:
-        faults = load_document(self.path, "p", "ana").unwrap_err()
-        self.assertIn("cannot be read", faults[0])
+    def test_a_missing_file_is_an_error(self) -> None:
+        errors = load_document(self.path, "p", "ana").unwrap_err()
+        self.assertIn("cannot be read", errors[0])
 
-    def test_what_is_in_force_can_be_published_again_and_changes_nothing(self) -> None:
+    def test_a_document_of_what_is_in_force_changes_nothing(self) -> None:
         text = '{"services": {"plots": {"version": "v1"}}, "routes": {"/p": {"service": "plots"}}}'
-        held = self.in_force(text)
-        again = self.load(msgspec.json.encode(to_document(held)).decode())
+        current = self.in_force(text)
+        again = self.load(msgspec.json.encode(to_document(current)).decode())
         again = msgspec.structs.replace(again, publish_id="again")
-        tried = dry_run(held, again, NOW_MS)
-        self.assertTrue(tried.verdict.accepted, tried.verdict)
-        self.assertEqual(tried.differences, [])
+        result = dry_run(current, again, NOW_MS)
+        self.assertTrue(result.verdict.accepted, result.verdict)
+        self.assertEqual(result.differences, [])
 
-    def test_routes_by_method_survive_the_way_through_a_document(self) -> None:
+    def test_idempotent_methods_are_kept_in_a_document(self) -> None:
         enabled = fold(
             EMPTY_CONFIGURATION, LogRecord(0, NOW_MS, encode_record(EnableSchema(1, "e", "ana", 2)))
         )
@@ -75,27 +75,27 @@
             ' {"service": "plots", "timeout_s": 1.5, "idempotent_methods": ["PUT"]}}}'
         )
         record = msgspec.structs.replace(record, made_at=0)
-        held = fold(enabled, LogRecord(1, NOW_MS, encode_record(record)))
-        self.assertEqual(held.routes_by_path["/p"].idempotent_methods, ("PUT",))
-        again = self.load(msgspec.json.encode(to_document(held)).decode())
+        current = fold(enabled, LogRecord(1, NOW_MS, encode_record(record)))
+        self.assertEqual(current.routes_by_path["/p"].idempotent_methods, ("PUT",))
+        again = self.load(msgspec.json.encode(to_document(current)).decode())
         again = msgspec.structs.replace(again, publish_id="again")
-        self.assertEqual(dry_run(held, again, NOW_MS).differences, [])
-        self.assertTrue(dry_run(held, again, NOW_MS).verdict.accepted)
+        self.assertEqual(dry_run(current, again, NOW_MS).differences, [])
+        self.assertTrue(dry_run(current, again, NOW_MS).verdict.accepted)
 
-    def test_a_dry_run_tells_what_would_change_or_why_not(self) -> None:
-        held = self.in_force(
+    def test_a_dry_run_returns_the_differences_or_the_reason_of_a_rejection(self) -> None:
+        current = self.in_force(
             '{"services": {"plots": {"version": "v1"}}, "routes": {"/p": {"service": "plots"}}}'
         )
         change = self.load(
             '{"services": {"plots": {"version": "v2"}, "dues": {"version": "v1"}},'
             ' "routes": {"/p": null}}'
         )
-        tried = dry_run(held, msgspec.structs.replace(change, publish_id="q"), NOW_MS)
-        signs = [line.split(":")[0] for line in tried.differences]
-        self.assertEqual(signs, ["+ service dues", "~ service plots", "- route /p"])
+        result = dry_run(current, msgspec.structs.replace(change, publish_id="q"), NOW_MS)
+        heads = [line.split(":")[0] for line in result.differences]
+        self.assertEqual(heads, ["+ service dues", "~ service plots", "- route /p"])
         dangling = self.load('{"services": {"plots": null}}')
-        tried = dry_run(held, msgspec.structs.replace(dangling, publish_id="r"), NOW_MS)
-        self.assertIn("points at unknown service", tried.verdict.reason)
+        result = dry_run(current, msgspec.structs.replace(dangling, publish_id="r"), NOW_MS)
+        self.assertIn("points at unknown service", result.verdict.reason)
 
 
 class TimeTests(unittest.TestCase):
@@ -112,7 +112,7 @@
                 self.assertEqual(parse_deadline(text, NOW_MS).unwrap(), expected)
         self.assertEqual(parse_since("10m", NOW_MS).unwrap(), NOW_MS - 600_000)
 
-    def test_other_times_are_faults(self) -> None:
+    def test_other_texts_are_no_times(self) -> None:
         for text in ("", "soon", "30s", "-30s", "+s", "2026-01-01T10:00:00", "+1w"):
             with self.subTest(text):
                 self.assertTrue(parse_deadline(text, NOW_MS).is_err())
--- a/tests/operators/test_endpoint.py
+++ b/tests/operators/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The contract of a node's endpoint for operators, against a real node."""
+"""Tests of the operator endpoint, and of incident reports, against a real node."""
 
 import time
 import typing as t
@@ -23,7 +23,7 @@
 DANGLING = Configure(1, "p2", "bor", routes={"/dues": RouteBody("dues")})
 
 
-def start_move() -> StartRollout:
+def start_rollout() -> StartRollout:
     finish_by_ms = time.time_ns() // 1_000_000 + 3_600_000
     return StartRollout(1, "m", "ana", "plots", "v2", finish_by_ms)
 
@@ -31,7 +31,7 @@
 class ReadyTests(NodeTestCase):
     log_down_at_start = True
 
-    async def test_a_node_is_ready_once_it_holds_a_configuration(self) -> None:
+    async def test_a_node_is_ready_once_it_has_a_configuration(self) -> None:
         self.assertEqual((await self.get("/ready"))[0], 503)
         self.log.faults.down = False
         (await self.client.publish(PLOTS)).unwrap()
@@ -39,10 +39,10 @@
 
 
 class EndpointTests(NodeTestCase):
-    async def test_each_request_is_answered_as_agreed(self) -> None:
+    async def test_each_path_has_its_status_and_body(self) -> None:
         accepted = (await self.client.publish(PLOTS)).unwrap()
         rejected = (await self.client.publish(DANGLING)).unwrap()
-        (await self.client.publish(start_move())).unwrap()
+        (await self.client.publish(start_rollout())).unwrap()
         self.assertTrue(accepted.accepted)
         self.assertIn("points at unknown service", rejected.reason)
         cases: dict[str, tuple[int, str]] = {
@@ -70,11 +70,11 @@
         }
         for path, (status, part) in cases.items():
             with self.subTest(path):
-                answered, body = await self.get(path)
-                self.assertEqual(answered, status, body)
+                actual_status, body = await self.get(path)
+                self.assertEqual(actual_status, status, body)
                 self.assertIn(part, body)
 
-    async def test_metrics_tell_the_node_s_state(self) -> None:
+    async def test_metrics_contain_the_node_s_state(self) -> None:
         (await self.client.publish(PLOTS)).unwrap()
         self.log.faults.down = True
         final = FinishRollout(1, "m/done", "m", False, "healthy", "", "celje-a-1")
@@ -90,9 +90,9 @@
             with self.subTest(line):
                 self.assertIn(line, body.splitlines())
 
-    async def test_decisions_that_the_log_lacks_are_told(self) -> None:
+    async def test_decisions_that_the_log_lacks_are_reported(self) -> None:
         (await self.client.publish(PLOTS)).unwrap()
-        verdict = (await self.client.publish(start_move())).unwrap()
+        verdict = (await self.client.publish(start_rollout())).unwrap()
         self.log.faults.down = True
         self.node.shared_rollouts.merge(
             SharedRollout(verdict.offset, 10, True, "errors", "velenje-1")
@@ -104,28 +104,28 @@
         self.assertEqual(unrecorded["records"][0]["publish_id"], "m/taken-back")
         self.assertEqual(unrecorded["taken_back"][0]["taken_back_reason"], "errors")
         self.assertEqual((await self.get_json("/status"))["unrecorded"], ["m/taken-back"])
-        account = (await build_incident_report(self.client, 0, 1)).unwrap()
-        self.assertIn("the log could not be read", account.notes[0])
-        self.assertEqual([e.publish_id for e in account.events], ["p1", "m"])
-        told = "\n".join(account.unrecorded)
-        self.assertIn("move m taken back by velenje-1: errors", told)
-        self.assertIn("m/taken-back of node celje-a-1", told)
+        report = (await build_incident_report(self.client, 0, 1)).unwrap()
+        self.assertIn("the log could not be read", report.notes[0])
+        self.assertEqual([e.publish_id for e in report.events], ["p1", "m"])
+        decisions = "\n".join(report.unrecorded)
+        self.assertIn("move m taken back by velenje-1: errors", decisions)
+        self.assertIn("m/taken-back of node celje-a-1", decisions)
         urls = f"http://127.0.0.1:9,{self.operator_url},{self.operator_url}"
         async with OperatorClient(self.log_url, urls, 0.0) as client:
             again = (await build_incident_report(client, 0, 1)).unwrap()
-        self.assertEqual(again.unrecorded, account.unrecorded)
+        self.assertEqual(again.unrecorded, report.unrecorded)
         self.assertIn("could not be asked", "".join(again.notes))
 
-    async def test_records_come_in_the_log_s_form(self) -> None:
+    async def test_records_are_encoded_as_on_the_log(self) -> None:
         (await self.client.publish(PLOTS)).unwrap()
         records: t.Any = (await self.client.get("/records?from=0", list[t.Any])).unwrap()
         self.assertEqual([r["offset"] for r in records], [0])
-        account = (await build_incident_report(self.client, 0, 1)).unwrap()
-        self.assertEqual(account.digest, (await self.get_json("/status"))["digest"])
-        self.assertEqual(account.convergence and account.convergence.in_force, 1)
+        report = (await build_incident_report(self.client, 0, 1)).unwrap()
+        self.assertEqual(report.digest, (await self.get_json("/status"))["digest"])
+        self.assertEqual(report.convergence and report.convergence.in_force, 1)
         self.assertEqual(decode_record(encode_record(PLOTS)).unwrap(), PLOTS)
 
-    async def test_an_account_begins_where_the_log_was_trimmed(self) -> None:
+    async def test_an_incident_report_begins_where_the_log_was_trimmed(self) -> None:
         for number in range(3):
             record = Configure(
                 1, f"p{number}", "ana", services={"plots": ServiceBody(f"v{number}")}
@@ -133,10 +133,10 @@
             (await self.client.publish(record)).unwrap()
         async with self.session.post(f"{self.log_url}/trim/{CONFIGURATION_STREAM}?keep=1"):
             pass
-        account = (await build_incident_report(self.client, 0, 1)).unwrap()
-        self.assertEqual(account.first_offset, 2)
-        self.assertEqual([e.verdict for e in account.events], ["accepted"])
-        self.assertIn("no records before offset 2", account.notes[0])
+        report = (await build_incident_report(self.client, 0, 1)).unwrap()
+        self.assertEqual(report.first_offset, 2)
+        self.assertEqual([e.verdict for e in report.events], ["accepted"])
+        self.assertIn("no records before offset 2", report.notes[0])
         self.node.store.current = EMPTY_CONFIGURATION
         reason = (await build_incident_report(self.client, 0, 1)).unwrap_err()
         self.assertIn("the node has only version -1", reason)
--- a/tests/operators/test_history.py
+++ b/tests/operators/test_history.py
@@ -1,4 +1,4 @@
-"""Tests of the account of the log's records."""
+"""Tests of the history of the log's records."""
 
 import unittest
 
@@ -30,8 +30,8 @@
 BAD_BODY = b'{"schema": 1, "publish_id": "b", "kind": "configure", "operator": "ana", "x": 1}'
 START = StartRollout(1, "m", "ana", "plots", "v2", 99_999)
 STEP = RecordRolloutStep(1, "m/step/10", "m", 10, "first step", "0 calls", "celje-1")
-DONE = FinishRollout(1, "m/done", "m", False, "no fault", "900 calls", "celje-1")
-BACK = FinishRollout(1, "m/taken-back", "m", True, "errors", "9 of 10 failed", "celje-2")
+COMPLETION = FinishRollout(1, "m/done", "m", False, "no fault", "900 calls", "celje-1")
+ROLLBACK = FinishRollout(1, "m/taken-back", "m", True, "errors", "9 of 10 failed", "celje-2")
 WITHDRAW = WithdrawRollout(1, "w", "bor", "m", "wrong version")
 
 
@@ -57,8 +57,8 @@
             "bad body": ([BAD_BODY], "operator ana", "rejected: Object contains unknown", ""),
             "active": ([PLOTS, START], "operator ana", "accepted", "active"),
             "step": ([PLOTS, START, STEP], "node celje-1", "accepted", ""),
-            "done": ([PLOTS, START, DONE], "node celje-1", "accepted", "in force"),
-            "lost race": ([PLOTS, START, BACK, WITHDRAW], "operator bor", "rejected: move", ""),
+            "done": ([PLOTS, START, COMPLETION], "node celje-1", "accepted", "in force"),
+            "lost race": ([PLOTS, START, ROLLBACK, WITHDRAW], "operator bor", "rejected: move", ""),
         }
         for name, (records, by, verdict, became) in cases.items():
             with self.subTest(name):
@@ -67,31 +67,31 @@
                 self.assertTrue(last.verdict.startswith(verdict), last.verdict)
                 self.assertEqual(last.became, became)
 
-    def test_a_move_tells_its_end_with_the_offset(self) -> None:
+    def test_the_event_of_a_rollout_has_its_end_and_that_offset(self) -> None:
         cases: dict[str, Record] = {
-            "done: no fault, at offset 3": DONE,
-            "taken back: errors, at offset 3": BACK,
+            "done: no fault, at offset 3": COMPLETION,
+            "taken back: errors, at offset 3": ROLLBACK,
             "withdrawn: wrong version, at offset 3": WITHDRAW,
         }
         for expected, final in cases.items():
             with self.subTest(expected):
                 self.assertEqual(events(PLOTS, START, STEP, final)[1].became, expected)
 
-    def test_a_finished_move_replaces_the_service_s_version(self) -> None:
-        told = events(PLOTS, START, DONE)[0].became
-        self.assertEqual(told, "replaced in part: service plots by offset 2")
+    def test_a_completed_rollout_replaces_the_service_s_version(self) -> None:
+        became = events(PLOTS, START, COMPLETION)[0].became
+        self.assertEqual(became, "replaced in part: service plots by offset 2")
 
-    def test_records_from_one_that_needs_a_later_release_are_told_unjudged(self) -> None:
+    def test_records_from_one_that_needs_a_later_release_on_are_not_judged(self) -> None:
         levels = [EnableSchema(1, f"level-{n}", "ana", n) for n in (2, 3)]
-        told = events(*levels, PLOTS, levels[0])
-        self.assertEqual(told[0].verdict, "accepted")
-        for event in told[1:]:
+        found = events(*levels, PLOTS, levels[0])
+        self.assertEqual(found[0].verdict, "accepted")
+        for event in found[1:]:
             self.assertIn("not judged: record 1: level 3 is above", event.verdict)
 
-    def test_evidence_is_told(self) -> None:
-        self.assertEqual(events(PLOTS, START, BACK)[-1].evidence, "9 of 10 failed")
+    def test_the_event_of_a_rollback_has_its_evidence(self) -> None:
+        self.assertEqual(events(PLOTS, START, ROLLBACK)[-1].evidence, "9 of 10 failed")
 
-    def test_records_before_the_first_known_state_keep_the_verdicts_it_remembers(self) -> None:
+    def test_records_before_the_first_known_state_have_the_verdicts_in_it(self) -> None:
         records = log_records(PLOTS, DANGLING, START)
         whole = History(EMPTY_CONFIGURATION)
         for record in records[:2]:
@@ -107,20 +107,20 @@
 class HistoryProperties(unittest.TestCase):
     @settings(max_examples=60)
     @given(LOGS)
-    def test_what_is_told_agrees_with_what_nodes_hold(self, log: list[LogRecord]) -> None:
+    def test_the_history_agrees_with_the_fold(self, log: list[LogRecord]) -> None:
         history = History(EMPTY_CONFIGURATION)
         for record in log:
             history.add(record)
         folded = fold_records(EMPTY_CONFIGURATION, log)
-        held = folded.configuration
-        self.assertEqual(digest(history.configuration), digest(held))
-        verdicts_by_offset = {v.offset: v for v in held.verdicts_by_publish_id.values()}
-        in_force = {s.offset for s in held.services_by_name.values()}
-        in_force |= {route.offset for route in held.routes_by_path.values()}
+        current = folded.configuration
+        self.assertEqual(digest(history.configuration), digest(current))
+        verdicts_by_offset = {v.offset: v for v in current.verdicts_by_publish_id.values()}
+        in_force = {s.offset for s in current.services_by_name.values()}
+        in_force |= {route.offset for route in current.routes_by_path.values()}
         for event in history.events():
             verdict = verdicts_by_offset.get(event.offset)
             self.assertEqual(event.verdict == "accepted", bool(verdict and verdict.accepted))
-            if event.offset > held.offset:
+            if event.offset > current.offset:
                 self.assertIn("not judged", event.verdict)
             if event.offset in in_force:
                 self.assertIn(event.became.split(":")[0], ("in force", "replaced in part"))
--- a/tests/operators/test_publishing.py
+++ b/tests/operators/test_publishing.py
@@ -1,4 +1,4 @@
-"""Tests of publishing: lost answers, reused ids, and what is said when nothing is confirmed."""
+"""Tests of publishing to a real node: lost responses, reused ids, unconfirmed records."""
 
 from bulrushflow.configuration import Configure
 from bulrushflow.configuration import ServiceBody
@@ -10,15 +10,15 @@
 
 PLOTS = Configure(1, "p1", "ana", services={"plots": ServiceBody("v1")})
 OTHER = Configure(1, "p1", "bor", services={"plots": ServiceBody("v2")})
-NOBODY = "http://127.0.0.1:9"
+UNREACHABLE = "http://127.0.0.1:9"
 
 
 class PublishTests(NodeTestCase):
-    async def introduced(self) -> bool:
+    async def has_seed_record(self) -> bool:
         return bool((await self.client.log.tail(SEED_RECORD_STREAM, 1)).unwrap().records)
 
-    async def test_a_record_counts_once_whatever_answers_are_lost(self) -> None:
-        await until(self.introduced, "the node's introduction, the only other append")
+    async def test_a_record_counts_once_however_many_responses_are_lost(self) -> None:
+        await until(self.has_seed_record, "the node's seed record, the only other append")
         self.log.faults.lose_answers = 2
         self.log.faults.lose_stream = CONFIGURATION_STREAM
         first = (await self.client.publish(PLOTS)).unwrap()
@@ -29,18 +29,18 @@
         with self.subTest("another record under the same id"):
             reason = (await self.client.publish(OTHER)).unwrap_err()
             self.assertIn("was used for another record, at offset 0", reason)
-        with self.subTest("no answer from the log"):
+        with self.subTest("no response from the log"):
             self.log.faults.down = True
             async with OperatorClient(self.log_url, self.operator_url, 0.1) as client:
                 reason = (await client.publish(OTHER)).unwrap_err()
             self.assertIn("may take effect all the same", reason)
             self.assertRegex(reason, r"--publish-id p1 --made-at \d+ ")
-        with self.subTest("no node to ask"):
+        with self.subTest("no reachable node"):
             self.log.faults.down = False
-            async with OperatorClient(self.log_url, NOBODY, 0.1) as client:
+            async with OperatorClient(self.log_url, UNREACHABLE, 0.1) as client:
                 reason = (await client.publish(PLOTS)).unwrap_err()
             self.assertIn("no node returned its verdict", reason)
-        with self.subTest("the first node that answers is asked"):
-            urls = f"{NOBODY},{self.operator_url}"
+        with self.subTest("the first node that responds is used"):
+            urls = f"{UNREACHABLE},{self.operator_url}"
             async with OperatorClient(self.log_url, urls, 5.0) as client:
                 self.assertEqual((await client.publish(PLOTS)).unwrap(), first)
--- a/tests/operators/test_request_timeline.py
+++ b/tests/operators/test_request_timeline.py
@@ -1,3 +1,5 @@
+"""Tests of request timelines from log lines, and of the command ``story``."""
+
 import contextlib
 import io
 import json
@@ -39,29 +41,29 @@
 ]
 
 
-class StoryTests(unittest.TestCase):
-    def test_a_story_has_the_requests_lines_in_order_and_its_nodes_beliefs(self) -> None:
-        story = build_timeline("r-1", LINES, 2.0)
-        assert story is not None
+class TimelineTests(unittest.TestCase):
+    def test_a_timeline_has_the_lines_of_the_request_and_of_its_nodes(self) -> None:
+        timeline = build_timeline("r-1", LINES, 2.0)
+        assert timeline is not None
         self.assertEqual(
-            [found.message for found in story.request_lines],
+            [found.message for found in timeline.request_lines],
             ["call refused", "attempt failed", "call failed"],
         )
-        self.assertEqual([found.process for found in story.context_lines], ["n-2"])
-        told = format_timeline(story).splitlines()
-        self.assertEqual(told[0], "request r-1: call failed, 503, not_run: full")
-        self.assertEqual(told[1], "  00:00:09.500 n-2 target announced target=t-2")
-        self.assertEqual(told[2], "> 00:00:10.100 n-2 call refused reason=full load=38")
-
-    def test_a_request_whose_end_is_not_told_is_said_to_be_so(self) -> None:
-        story = build_timeline("r-10", LINES, 0.0)
-        assert story is not None
-        self.assertIn("no line has its end", story.outcome_text)
-
-    def test_a_request_that_no_line_names_has_no_story(self) -> None:
+        self.assertEqual([found.process for found in timeline.context_lines], ["n-2"])
+        lines = format_timeline(timeline).splitlines()
+        self.assertEqual(lines[0], "request r-1: call failed, 503, not_run: full")
+        self.assertEqual(lines[1], "  00:00:09.500 n-2 target announced target=t-2")
+        self.assertEqual(lines[2], "> 00:00:10.100 n-2 call refused reason=full load=38")
+
+    def test_a_timeline_without_the_request_s_end_says_so(self) -> None:
+        timeline = build_timeline("r-10", LINES, 0.0)
+        assert timeline is not None
+        self.assertIn("no line has its end", timeline.outcome_text)
+
+    def test_a_request_without_a_line_has_no_timeline(self) -> None:
         self.assertIsNone(build_timeline("r", LINES, 2.0))
 
-    def test_what_is_no_structured_line_is_passed_over(self) -> None:
+    def test_text_that_is_no_structured_line_is_ignored(self) -> None:
         for text in ("", "{", "[1]", "{}", '{"time": 1, "process": "n", "message": "m"}'):
             with self.subTest(text):
                 self.assertIsNone(parse_line(text))
@@ -88,7 +90,7 @@
             code, _, err = self.run_command("r-2", str(paths[0]))
             self.assertEqual((code, err), (1, "error: none of 2 lines names request r-2\n"))
 
-    def test_a_file_that_cannot_be_read_is_told(self) -> None:
+    def test_a_file_that_cannot_be_read_is_an_error(self) -> None:
         code, _, err = self.run_command("r-1", "/nowhere/at/all")
         self.assertEqual(code, 2)
         self.assertIn("/nowhere/at/all: No such file", err)
