--- a/src/bulrushflow/standins/__init__.py
+++ b/src/bulrushflow/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems, and the load tool; none of this runs in production."""
+"""Stand-ins for the platform's log and for targets, and the load tool; not for production."""
--- a/src/bulrushflow/standins/load.py
+++ b/src/bulrushflow/standins/load.py
@@ -1,4 +1,4 @@
-"""The load tool: open-loop calls from a seed, and a comparison with what the targets ran."""
+"""The load tool: seeded open-loop calls, and a comparison of responses with the targets' runs."""
 
 import asyncio
 import random
@@ -26,16 +26,16 @@
 CALL_TIMEOUT_S = 15.0
 LATE_SEND_S = 0.005
 BUSY_WAIT_S = 0.0015
-"""The event loop wakes up to a millisecond late, so the last wait yields instead of sleeping."""
+"""The event loop wakes up to 1 ms late, so a wait ends by polling the clock, not by sleeping."""
 TENANTS = ("members", "stewards", "treasurer")
 
 
 class Summary(msgspec.Struct):
-    """What callers saw, compared with what the targets recorded as run.
+    """Counts of the callers' responses, compared with the runs that the targets recorded.
 
-    ``lost``: no answer and no stated outcome. ``doubled``: a non-idempotent call that ran twice.
-    ``crossed``: another call's answer. ``cut``: a part of an answer. ``false_not_run``: refused
-    as not run, and run all the same.
+    ``lost``: no response and no outcome header. ``doubled``: a non-idempotent call that ran more
+    than once. ``crossed``: another call's response. ``cut``: an incomplete response.
+    ``false_not_run``: refused as not run, although a target ran it.
     """
 
     seed: int
@@ -49,28 +49,28 @@
     doubled_calls: list[str] = []
     """Id and path of each doubled call."""
     repeated: int = 0
-    """POST calls on paths declared idempotent that ran more than once, as they may."""
+    """POST calls on paths declared idempotent that ran more than once, which is allowed."""
     crossed: int = 0
     cut: int = 0
     false_not_run: int = 0
     unreachable: int = 0
     """Those of the lost calls whose connection was refused."""
     in_time: int = 0
-    """Answered without an error within the time limit that the tool was given."""
+    """Calls that succeeded within the tool's time limit."""
     late_sends: int = 0
-    """Calls that this tool itself sent more than 5 ms late; many make a run worthless."""
+    """Calls that the tool sent more than 5 ms late; many of them make the figures unusable."""
     p50_ms: float = 0.0
     p90_ms: float = 0.0
     p99_ms: float = 0.0
     answered_by_version: dict[str, int] = {}
 
     def has_failures(self) -> bool:
-        """Tell whether a caller was given less than the whole answer or a true outcome."""
+        """Return whether any call was lost, doubled, crossed, cut or falsely refused as not run."""
         return bool(self.lost + self.doubled + self.crossed + self.cut + self.false_not_run)
 
 
 class Digests(t.NamedTuple):
-    """Digests of a call's body and of its answer's."""
+    """Digests of a call's body and of its response's body."""
 
     body: str
     answer: str
@@ -78,22 +78,22 @@
 
 @dataclass(slots=True)
 class Calls:
-    """The calls of one run of the tool."""
+    """The results of one run of the tool."""
 
     summary: Summary
     histogram: HdrHistogram
-    """Latencies in microseconds of every call that got an answer or a stated outcome."""
+    """Latencies in microseconds of every call with a response or an outcome header."""
     answered_histogram: HdrHistogram
-    """The same of calls that were answered without an error."""
+    """Latencies in microseconds of the calls that succeeded."""
     not_run_ids: set[str] = field(default_factory=set)
     posted_path_by_id: dict[str, str] = field(default_factory=dict)
     digests_by_id: dict[str, Digests] = field(default_factory=dict)
-    """Of the calls that got a target's answer."""
+    """Digests of the calls that got a target's response."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedCall:
-    """One call, and when it is due on the monotonic clock."""
+    """One call, with its send time on the monotonic clock."""
 
     request_id: str
     method: str
@@ -112,13 +112,13 @@
     timeout_s: float = CALL_TIMEOUT_S,
     round_robin: bool = False,
 ) -> Calls:
-    """Send calls at a fixed mean rate, whatever the answers take.
+    """Send calls at a fixed mean rate, independent of the response times.
 
-    Latency counts from the time that a call was due, so that a late send can't hide a wait.
+    Latency counts from the time that a call was due, so that it includes a delayed send.
 
     :param rate: calls per second over all nodes.
     :param timeout_s: time limit of one call, after which its caller disconnects.
-    :param round_robin: take the nodes in turn instead of at random.
+    :param round_robin: use the nodes in turn instead of at random.
     """
     rng = random.Random(seed)
     calls = Calls(Summary(seed), _histogram(), _histogram())
@@ -160,10 +160,10 @@
 
 
 async def _sleep_until(due_at: float) -> None:
-    left_s = due_at - time.monotonic()
-    if left_s > BUSY_WAIT_S:
-        await asyncio.sleep(left_s - BUSY_WAIT_S)
-    while time.monotonic() < due_at:  # noqa: ASYNC110, since only the clock tells
+    remaining_s = due_at - time.monotonic()
+    if remaining_s > BUSY_WAIT_S:
+        await asyncio.sleep(remaining_s - BUSY_WAIT_S)
+    while time.monotonic() < due_at:  # noqa: ASYNC110, there is no event to wait for
         await asyncio.sleep(0)
 
 
@@ -182,7 +182,7 @@
             asyncio.timeout(timeout_s),
             session.request(call.method, call.url, data=call.body, headers=headers) as response,
         ):
-            answer = await response.read()
+            body = await response.read()
     except aiohttp.ClientPayloadError:
         summary.cut += 1
         return
@@ -198,25 +198,25 @@
         calls.not_run_ids.add(call.request_id)
     elif outcome is not None:
         summary.unknown += 1
-    elif _check_response(calls, call, response.status, answer):
+    elif _check_response(calls, call, response.status, body):
         calls.answered_histogram.record_value(max(1, int(seconds * 1_000_000)))
         if seconds <= timeout_s:
             summary.in_time += 1
 
 
-def _check_response(calls: Calls, call: PlannedCall, status: int, answer: bytes) -> bool:
-    """Count an answer; return whether it is the call's own and no error."""
+def _check_response(calls: Calls, call: PlannedCall, status: int, body: bytes) -> bool:
+    """Count a response; return whether it is complete, the call's own and a success."""
     summary = calls.summary
     try:
-        fields = msgspec.json.decode(answer, type=dict[str, str])
+        fields = msgspec.json.decode(body, type=dict[str, str])
     except msgspec.DecodeError:
         summary.cut += 1
         return False
-    own = (call.request_id, digest(call.body), call.tenant)
-    if (fields.get("request_id"), fields.get("body_digest"), fields.get("tenant")) != own:
+    expected = (call.request_id, digest(call.body), call.tenant)
+    if (fields.get("request_id"), fields.get("body_digest"), fields.get("tenant")) != expected:
         summary.crossed += 1
         return False
-    calls.digests_by_id[call.request_id] = Digests(digest(call.body), digest(answer))
+    calls.digests_by_id[call.request_id] = Digests(digest(call.body), digest(body))
     version = f"{fields.get('service')}/{fields.get('version')}"
     summary.answered_by_version[version] = summary.answered_by_version.get(version, 0) + 1
     if status >= 500:
@@ -229,10 +229,12 @@
 async def compare_runs(
     calls: Calls, targets: list[str], idempotent_paths: t.Sequence[str] = ()
 ) -> None:
-    """Count doubled calls, calls refused as not run that ran, and answers of no recorded run.
+    """Count doubled calls, calls refused as not run that ran, and responses of no recorded run.
 
-    Calls without any record are passed over, since a target that ended can't be asked.
+    Responses to calls without any recorded run are skipped, since the runs of a target that has
+    ended can't be read.
 
+    :param targets: URLs of the targets whose runs are read.
     :param idempotent_paths: prefixes of paths where a call may run more than once.
     """
     runs_by_id: dict[str, list[Digests]] = {}
@@ -262,9 +264,9 @@
 @cappa.command(name="bulrushflow-load")
 @dataclass
 class LoadCommand:
-    """Send seeded calls to nodes, compare the answers with what targets ran, print a summary.
+    """Send seeded calls to nodes, compare the responses with the targets' runs, print a summary.
 
-    Exit status 1 when a call was lost, doubled, crossed or cut, or refused as not run and run.
+    Exit status 1 when a call was lost, doubled, crossed or cut, or ran although refused as not run.
     """
 
     node: t.Annotated[list[str], cappa.Arg(long=True, help="a node's caller URL; repeat for more")]
@@ -275,8 +277,8 @@
     idempotent_path: t.Annotated[
         list[str], cappa.Arg(long=True, help="prefix of paths declared idempotent; repeat for more")
     ] = field(default_factory=list)
-    rate: t.Annotated[float, cappa.Arg(long=True, help="calls per second in all")] = 100.0
-    seconds: t.Annotated[float, cappa.Arg(long=True, help="length of the run")] = 10.0
+    rate: t.Annotated[float, cappa.Arg(long=True, help="calls per second over all nodes")] = 100.0
+    seconds: t.Annotated[float, cappa.Arg(long=True, help="length of the run in seconds")] = 10.0
     seed: t.Annotated[int, cappa.Arg(long=True, help="seed of the calls")] = 1
 
     def __call__(self) -> None:
--- a/src/bulrushflow/standins/log.py
+++ b/src/bulrushflow/standins/log.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's append-only log, with faults on command."""
+"""A stand-in for the platform's append-only log, with fault injection."""
 
 import asyncio
 import base64
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class StoredRecord:
-    """A record and when it was appended."""
+    """A record, with the time of its append in epoch milliseconds."""
 
     offset: int
     appended_at_ms: int
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Stream:
-    """One stream's kept records."""
+    """One stream's retained records; ``changed`` is set by the next append."""
 
     first_offset: int = 0
     records: list[StoredRecord] = field(default_factory=list)
@@ -43,17 +43,17 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """Faults in force: an outage, added delay, and answers lost after the write."""
+    """Injected faults: an outage, added delay, and responses lost after the write."""
 
     down: bool = False
     delay_ms: int = 0
     lose_answers: int = 0
     lose_stream: str = ""
-    """The only stream whose answers are lost; empty for all."""
+    """The only stream whose responses are lost; empty for all."""
 
 
 class StandinLog:
-    """Streams in memory, an append rate limit, and the faults."""
+    """Streams in memory, with an append rate limit, retention bounds and fault injection."""
 
     def __init__(
         self, appends_per_s: float, retained_records: int, retained_s: float = float("inf")
@@ -79,7 +79,7 @@
         return app
 
     async def append(self, request: web.Request) -> web.Response:
-        """Append the body as one record."""
+        """Append the body as one record; 503 when down, 429 above the append rate limit."""
         body = await request.read()
         if await self._is_down():
             return _error(503, "unavailable")
@@ -89,7 +89,7 @@
         stream = self._stream(request)
         record = StoredRecord(stream.next_offset, time.time_ns() // 1_000_000, body)
         stream.records.append(record)
-        _retain(stream, self._retained_records)
+        _retain_newest(stream, self._retained_records)
         changed, stream.changed = stream.changed, asyncio.Event()
         changed.set()
         if self.faults.lose_answers > 0 and self.faults.lose_stream in (
@@ -103,7 +103,10 @@
         return web.json_response({"offset": record.offset})
 
     async def read(self, request: web.Request) -> web.Response:
-        """Return records from an offset or from the tail, waiting for the first if asked."""
+        """Return a page of records from an offset or from the tail; 410 for trimmed offsets.
+
+        With ``wait_ms``, a read at the end of the stream waits up to that time for an append.
+        """
         if await self._is_down():
             return _error(503, "unavailable")
         self.reads += 1
@@ -126,7 +129,7 @@
         return _page(stream, from_offset - stream.first_offset)
 
     async def set_faults(self, request: web.Request) -> web.Response:
-        """Replace the faults in force."""
+        """Replace the injected faults."""
         try:
             self.faults = msgspec.json.decode(await request.read(), type=Faults)
         except msgspec.DecodeError as exc:
@@ -134,16 +137,19 @@
         return web.json_response({})
 
     async def trim(self, request: web.Request) -> web.Response:
-        """Drop all but the newest ``keep`` records, or those older than ``older_ms``."""
+        """Drop all but the newest ``keep`` records, or those older than ``older_ms``.
+
+        ``older_ms`` is an age in milliseconds, and is used when both are given.
+        """
         stream = self._stream(request)
         if "older_ms" in request.query:
             _drop_older(stream, int(request.query["older_ms"]) / 1000)
         else:
-            _retain(stream, int(request.query.get("keep", "0")))
+            _retain_newest(stream, int(request.query.get("keep", "0")))
         return web.json_response({})
 
     async def counts(self, request: web.Request) -> web.Response:
-        """Tell how many reads and appends were served."""
+        """Return how many reads and appends were served."""
         return web.json_response({"reads": self.reads, "appends": self.appends})
 
     def _stream(self, request: web.Request) -> Stream:
@@ -158,8 +164,8 @@
 
     def _consume_token(self) -> bool:
         now = time.monotonic()
-        earned = (now - self._refilled_at) * self._appends_per_s
-        self._tokens = min(self._appends_per_s, self._tokens + earned)
+        replenished = (now - self._refilled_at) * self._appends_per_s
+        self._tokens = min(self._appends_per_s, self._tokens + replenished)
         self._refilled_at = now
         if self._tokens < 1:
             return False
@@ -167,7 +173,7 @@
         return True
 
 
-def _retain(stream: Stream, count: int) -> None:
+def _retain_newest(stream: Stream, count: int) -> None:
     excess = len(stream.records) - count
     if excess > 0:
         del stream.records[:excess]
@@ -175,9 +181,9 @@
 
 
 def _drop_older(stream: Stream, age_s: float) -> None:
-    oldest_ms = time.time_ns() / 1_000_000 - age_s * 1000
-    start = bisect.bisect_left(stream.records, oldest_ms, key=lambda r: r.appended_at_ms)
-    _retain(stream, len(stream.records) - start)
+    cutoff_ms = time.time_ns() / 1_000_000 - age_s * 1000
+    start = bisect.bisect_left(stream.records, cutoff_ms, key=lambda r: r.appended_at_ms)
+    _retain_newest(stream, len(stream.records) - start)
 
 
 def _page(stream: Stream, start: int) -> web.Response:
@@ -200,20 +206,19 @@
 @cappa.command(name="bulrushflow-standin-log")
 @dataclass
 class LogCommand:
-    """Run a stand-in for the platform's append-only log.
-
-    :param port: TCP port; 0 lets the system pick one.
-    :param address: IP address to listen on.
-    :param appends_per_s: appends accepted each second.
-    :param retained_records: records kept in each stream.
-    :param retained_s: seconds that a record is kept.
-    """
-
-    port: t.Annotated[int, cappa.Arg(long=True, help="TCP port; 0 lets the system pick")] = 0
-    address: t.Annotated[str, cappa.Arg(long=True, help="IP address")] = "127.0.0.1"
-    appends_per_s: t.Annotated[float, cappa.Arg(long=True, help="append limit")] = 300.0
-    retained_records: t.Annotated[int, cappa.Arg(long=True, help="kept per stream")] = 100_000
-    retained_s: t.Annotated[float, cappa.Arg(long=True, help="kept so long")] = float("inf")
+    """Run a stand-in for the platform's append-only log."""
+
+    port: t.Annotated[int, cappa.Arg(long=True, help="TCP port; 0 lets the system pick one")] = 0
+    address: t.Annotated[str, cappa.Arg(long=True, help="IP address to listen on")] = "127.0.0.1"
+    appends_per_s: t.Annotated[float, cappa.Arg(long=True, help="appends accepted per second")] = (
+        300.0
+    )
+    retained_records: t.Annotated[int, cappa.Arg(long=True, help="records retained per stream")] = (
+        100_000
+    )
+    retained_s: t.Annotated[
+        float, cappa.Arg(long=True, help="seconds that a record is retained")
+    ] = float("inf")
 
     def __call__(self) -> None:
         configure_logs("standin-log")
--- a/src/bulrushflow/standins/serving.py
+++ b/src/bulrushflow/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serving a stand-in's HTTP application until a signal."""
+"""Serves a stand-in's HTTP application until SIGTERM or SIGINT."""
 
 import asyncio
 import signal
@@ -23,7 +23,7 @@
 ) -> None:
     """Serve until SIGTERM or SIGINT, then finish the requests in flight.
 
-    :param on_listening: awaited with the port once connections are taken.
+    :param on_listening: awaited with the port once connections are accepted.
     :param on_stopping: awaited after the signal, before the listener closes.
     :param handler_cancellation: cancel a request whose client disconnected.
     """
@@ -41,8 +41,8 @@
 ) -> None:
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     runner = web.AppRunner(
         app,
         access_log=None,
@@ -52,10 +52,10 @@
     await runner.setup()
     site = web.TCPSite(runner, address, port)
     await site.start()
-    bound = runner.addresses[0][1]
-    logger.info("{} listens on {}:{}", name, address, bound)
+    bound_port = runner.addresses[0][1]
+    logger.info("{} listens on {}:{}", name, address, bound_port)
     if on_listening:
-        await on_listening(bound)
+        await on_listening(bound_port)
     await stopping.wait()
     if on_stopping:
         await on_stopping()
--- a/src/bulrushflow/standins/target.py
+++ b/src/bulrushflow/standins/target.py
@@ -1,4 +1,4 @@
-"""A stand-in for a target: slots, cold start, drain, shedding, and faults on command."""
+"""A stand-in for a target, with slots, cold start, draining, load shedding and fault injection."""
 
 import asyncio
 import hashlib
@@ -21,36 +21,36 @@
 from bulrushflow.targets.client import TENANT_HEADER
 
 ANNOUNCE_PERIOD_S = 0.5
-ANSWER_BYTES = 300
+MIN_RESPONSE_BYTES = 300
 MAX_RUNS = 200_000
 DRAIN_POLL_S = 0.05
 MAX_DRAIN_POLLS = 200
 
 
 class Behaviour(msgspec.Struct, forbid_unknown_fields=True):
-    """How the target answers; replaced by ``POST /control/behaviour``."""
+    """How the target handles calls; replaced by ``POST /control/behaviour``."""
 
     work_ms: float = 1.0
     error_share: float = 0.0
-    """Part of calls answered with status 500."""
+    """Fraction of calls that fail with status 500."""
     slow_share: float = 0.0
-    """Part of calls that take ``slow_ms`` longer."""
+    """Fraction of calls that take ``slow_ms`` longer."""
     slow_ms: float = 0.0
     faulty_path: str = ""
-    """Faults hit only paths that start so."""
+    """Prefix of the paths that the faults apply to."""
     faulty_after_s: float = 0.0
-    """Faults begin so long after the start."""
+    """Seconds from the start until faults apply."""
     faulty_above_in_flight: int = 0
-    """Faults hit only with more calls in flight than this."""
+    """Faults apply only while more calls than this are in flight."""
     lose_answer_share: float = 0.0
-    """Part of calls that run but whose connection is cut before the answer."""
+    """Fraction of calls that run but whose connection is aborted before the response."""
     queue_beyond_slots: bool = False
-    """Whether calls beyond the slots wait without a bound instead of being shed."""
+    """Whether calls beyond the slots wait in an unbounded queue instead of being shed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run of a request, as the load tool compares it with what callers saw."""
+    """One execution of a request, for the load tool's comparison with the callers' responses."""
 
     request_id: str
     body_digest: str
@@ -58,12 +58,12 @@
 
 
 def digest(data: bytes) -> str:
-    """Return a short digest of a body."""
+    """Return an 8-byte digest of a body, in hexadecimal."""
     return hashlib.blake2b(data, digest_size=8).hexdigest()
 
 
 class StandinTarget:
-    """The target's HTTP application and its announcements to the node beside it."""
+    """The target's HTTP application, and its announcements to its node."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         self._draining = False
         self._slot = asyncio.Semaphore(slots)
         self._port = 0
-        self._announcing: asyncio.Task[None] | None = None
+        self._announce_task: asyncio.Task[None] | None = None
 
     def application(self) -> web.Application:
         """Return the HTTP application."""
@@ -106,7 +106,7 @@
         return app
 
     async def call(self, request: web.Request) -> web.StreamResponse:
-        """Run one call."""
+        """Run one call; 503 with the outcome "not run" when the slots are full or draining."""
         body = await request.read()
         full = self.in_flight >= self._slots and not self.behaviour.queue_beyond_slots
         if full or self._draining:
@@ -117,7 +117,7 @@
             return await self._run_counted(request, body)
 
     async def list_runs(self, _: web.Request) -> web.Response:
-        """Answer with every run so far."""
+        """Return all recorded runs."""
         return web.Response(body=msgspec.json.encode(self.runs), content_type="application/json")
 
     async def set_behaviour(self, request: web.Request) -> web.Response:
@@ -129,29 +129,32 @@
         return web.json_response({})
 
     async def start_drain(self, _: web.Request) -> web.Response:
-        """Announce that no new calls are wanted."""
+        """Start draining: announce it to the node, and shed new calls."""
         self._draining = True
         await self._announce()
         return web.json_response({})
 
     async def health(self, _: web.Request) -> web.Response:
-        """Claim to be healthy, whatever calls show."""
+        """Report the target as healthy, whatever its faults."""
         return web.json_response({"healthy": True, "in_flight": 0})
 
     async def on_listening(self, port: int) -> None:
-        """Begin to announce."""
+        """Start the periodic announcements."""
         self._port = port
-        self._announcing = asyncio.get_running_loop().create_task(self._announce_periodically())
+        self._announce_task = asyncio.get_running_loop().create_task(self._announce_periodically())
 
     async def on_stopping(self) -> None:
-        """Announce the drain, then wait until the node has no admitted call left."""
+        """Announce the drain, then wait until the node has no call in flight to this target.
+
+        The wait ends after ``MAX_DRAIN_POLLS`` polls.
+        """
         self._draining = True
         for _ in range(MAX_DRAIN_POLLS):
             if await self._announce() == 0:
                 break
             await asyncio.sleep(DRAIN_POLL_S)
-        if self._announcing is not None:
-            self._announcing.cancel()
+        if self._announce_task is not None:
+            self._announce_task.cancel()
 
     async def _run_counted(self, request: web.Request, body: bytes) -> web.StreamResponse:
         self.in_flight += 1
@@ -170,17 +173,17 @@
         delay_ms = behaviour.work_ms
         if faulty and self._rng.random() < behaviour.slow_share:
             delay_ms += behaviour.slow_ms
-        answer = self._response_body(request, request_id, body)
-        self._record(Run(request_id, digest(body), digest(answer)))
+        response_body = self._response_body(request, request_id, body)
+        self._record_run(Run(request_id, digest(body), digest(response_body)))
         await asyncio.sleep(delay_ms / 1000)
         lost = faulty and self._rng.random() < behaviour.lose_answer_share
         if lost and request.transport is not None:
             request.transport.abort()
         status = 500 if faulty and self._rng.random() < behaviour.error_share else 200
-        return web.Response(status=status, body=answer, content_type="application/json")
+        return web.Response(status=status, body=response_body, content_type="application/json")
 
     def _response_body(self, request: web.Request, request_id: str, body: bytes) -> bytes:
-        answer = {
+        fields = {
             "request_id": request_id,
             "tenant": request.headers.get(TENANT_HEADER, ""),
             "service": self._service,
@@ -188,10 +191,10 @@
             "path": request.path,
             "body_digest": digest(body),
         }
-        encoded = msgspec.json.encode(answer)
-        return encoded + b" " * max(0, ANSWER_BYTES - len(encoded))
+        encoded = msgspec.json.encode(fields)
+        return encoded + b" " * max(0, MIN_RESPONSE_BYTES - len(encoded))
 
-    def _record(self, run: Run) -> None:
+    def _record_run(self, run: Run) -> None:
         if len(self.runs) < MAX_RUNS:
             self.runs.append(run)
 
@@ -215,7 +218,7 @@
             await asyncio.sleep(ANNOUNCE_PERIOD_S)
 
     async def _announce(self) -> int | None:
-        """Announce, and return the calls that the node has in flight here; ``None`` on failure."""
+        """Send an announcement; return the calls in flight to this target, ``None`` on failure."""
         announcement = {
             "service": self._service,
             "version": self._version,
@@ -229,11 +232,11 @@
         try:
             async with (
                 aiohttp.ClientSession(timeout=timeout) as session,
-                session.post(self._node_url + "/announce", json=announcement) as answer,
+                session.post(self._node_url + "/announce", json=announcement) as response,
             ):
-                if answer.status == 200:
-                    return int((await answer.json())["in_flight"])
-                logger.warning("announcement refused: {}", await answer.text())
+                if response.status == 200:
+                    return int((await response.json())["in_flight"])
+                logger.warning("announcement refused: {}", await response.text())
         except (aiohttp.ClientError, TimeoutError, OSError) as exc:
             logger.debug("announcement failed: {!r}", exc)
         return None
@@ -246,14 +249,16 @@
 
     service: t.Annotated[str, cappa.Arg(long=True, help="service name")]
     version: t.Annotated[str, cappa.Arg(long=True, help="target version")]
-    node_url: t.Annotated[str, cappa.Arg(long="--node", help="URL of the node beside it")]
-    port: t.Annotated[int, cappa.Arg(long=True, help="TCP port; 0 lets the system pick")] = 0
-    address: t.Annotated[str, cappa.Arg(long=True, help="IP address")] = "127.0.0.1"
-    slots: t.Annotated[int, cappa.Arg(long=True, help="calls at once")] = 20
-    connections: t.Annotated[int, cappa.Arg(long=True, help="connections at once")] = 120
-    cold_s: t.Annotated[float, cappa.Arg(long=True, help="seconds of cold start")] = 0.5
-    seed: t.Annotated[int, cappa.Arg(long=True, help="seed of its random choices")] = 1
-    behaviour: t.Annotated[str, cappa.Arg(long=True, help="JSON behaviour to begin with")] = "{}"
+    node_url: t.Annotated[str, cappa.Arg(long="--node", help="URL of the target's node")]
+    port: t.Annotated[int, cappa.Arg(long=True, help="TCP port; 0 lets the system pick one")] = 0
+    address: t.Annotated[str, cappa.Arg(long=True, help="IP address to listen on")] = "127.0.0.1"
+    slots: t.Annotated[int, cappa.Arg(long=True, help="concurrent calls")] = 20
+    connections: t.Annotated[int, cappa.Arg(long=True, help="concurrent connections")] = 120
+    cold_s: t.Annotated[
+        float, cappa.Arg(long=True, help="duration of the cold start in seconds")
+    ] = 0.5
+    seed: t.Annotated[int, cappa.Arg(long=True, help="seed of the random faults")] = 1
+    behaviour: t.Annotated[str, cappa.Arg(long=True, help="initial behaviour, as JSON")] = "{}"
 
     def __call__(self) -> None:
         configure_logs(f"{self.service}-{self.version}")
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of the load tool's comparison with what targets recorded."""
+"""Tests of the load tool's comparison with the runs that targets recorded."""
 
 import unittest
 
@@ -34,24 +34,24 @@
         await compare_runs(calls, [self.url], idempotent_paths)
         return calls.summary
 
-    async def test_an_answer_of_no_recorded_run_is_crossed(self) -> None:
+    async def test_a_response_of_no_recorded_run_is_crossed(self) -> None:
         cases = {
             "own": (Digests("body", "answer"), 0),
-            "another answer": (Digests("body", "other"), 1),
+            "another response": (Digests("body", "other"), 1),
             "another body": (Digests("other", "answer"), 1),
         }
         for name, (digests, crossed) in cases.items():
             with self.subTest(name):
                 summary = await self.compare(digests_by_id={"a": digests})
                 self.assertEqual(summary.crossed, crossed)
-        unknown = await self.compare(digests_by_id={"gone": Digests("body", "answer")})
-        self.assertEqual(unknown.crossed, 0)
+        unrecorded = await self.compare(digests_by_id={"gone": Digests("body", "answer")})
+        self.assertEqual(unrecorded.crossed, 0)
 
-    async def test_a_second_run_counts_by_its_path(self) -> None:
+    async def test_a_second_run_is_doubled_unless_its_path_is_idempotent(self) -> None:
         posted = {"a": "/payments/7", "b": "/payments/7"}
         self.assertEqual((await self.compare(posted_path_by_id=posted)).doubled, 1)
         repeated = await self.compare(("/payments",), posted_path_by_id=posted)
         self.assertEqual((repeated.doubled, repeated.repeated), (0, 1))
 
-    async def test_a_run_of_a_refused_call_is_told(self) -> None:
+    async def test_a_run_of_a_call_refused_as_not_run_is_counted(self) -> None:
         self.assertEqual((await self.compare(not_run_ids={"a", "c"})).false_not_run, 1)
