--- a/scripts/reference.py
+++ b/scripts/reference.py
@@ -1,4 +1,4 @@
-"""Writes the settings and the metrics that the code defines into the operators' pages.
+"""Writes tables of all settings and metrics into the operators' pages.
 
 Run by ``make reference``; a test fails while a page differs from the code.
 """
@@ -24,7 +24,7 @@
 
 
 def settings_table(kind: type[msgspec.Struct] = Settings, place: str = "") -> str:
-    """Return a Markdown table of all settings with their types, defaults and meanings."""
+    """Return a Markdown table of all settings with their types, defaults and descriptions."""
     header = ["| key | value | default | meaning |", "|---|---|---|---|"]
     return "\n".join(header + _settings_rows(kind, place))
 
@@ -40,14 +40,14 @@
 
 
 def with_table(page: str, table: str) -> str:
-    """Return a page with the part between its two markers replaced."""
+    """Return a page with the text between its markers replaced by a table."""
     head, _, rest = page.partition(BEGIN)
     _, _, tail = rest.partition(END)
     return f"{head}{BEGIN}\n{table}\n{END}{tail}"
 
 
 def _settings_rows(kind: t.Any, place: str) -> list[str]:
-    meanings_by_name = _field_docs(kind)
+    docs_by_name = _field_docs(kind)
     rows = []
     for field in msgspec.structs.fields(kind):
         key = f"{place}{field.name}"
@@ -58,8 +58,8 @@
         default = (
             "required" if field.required else f"`{msgspec.json.encode(field.default).decode()}`"
         )
-        meaning = meanings_by_name.get(field.name, "")
-        rows.append(f"| `{key}` | {_type_text(field.type)} | {default} | {meaning} |")
+        doc = docs_by_name.get(field.name, "")
+        rows.append(f"| `{key}` | {_type_text(field.type)} | {default} | {doc} |")
     return rows
 
 
@@ -68,7 +68,7 @@
 
 
 def _type_text(kind: t.Any) -> str:
-    """Return a type with its bounds, as an operator reads it."""
+    """Return a type and its bounds in words, for operators."""
     schema = msgspec.json.schema(kind)
     if "enum" in schema:
         return ", ".join(f"`{value}`" for value in schema["enum"])
@@ -86,7 +86,7 @@
 
 
 def _field_docs(kind: type) -> dict[str, str]:
-    """Return the doc comments that stand below a class's fields."""
+    """Return the doc comments below a class's fields, by the fields' names."""
     module = ast.parse(inspect.getsource(settings_module))
     body = next(
         n.body for n in module.body if isinstance(n, ast.ClassDef) and n.name == kind.__name__
@@ -108,7 +108,7 @@
 
 
 def main() -> None:
-    """Rewrite the pages."""
+    """Rewrite the tables of all pages in place."""
     for name, table in TABLES_BY_PAGE.items():
         path = PAGES / name
         path.write_text(with_table(path.read_text(encoding="utf-8"), table()), encoding="utf-8")
