--- a/src/bulrushflow/operators/client.py
+++ b/src/bulrushflow/operators/client.py
@@ -76,8 +76,8 @@
         backoff_s = APPEND_BACKOFF_S
         while True:
             if record.made_at is None:
-                # Set once and kept for all retries, since a late retry with another version
-                # could not be distinguished from a new record.
+                # Set once and kept for all retries: with a later version, a duplicate that is
+                # appended after the verdict was dropped would count as a new record.
                 record = msgspec.structs.replace(record, made_at=await self._newest_version())
             match await self.log.append(CONFIGURATION_STREAM, encode_record(record)):
                 case Ok(_):
--- a/src/bulrushflow/operators/options.py
+++ b/src/bulrushflow/operators/options.py
@@ -44,7 +44,9 @@
 ]
 MadeAt = t.Annotated[
     int | None,
-    cappa.Arg(long=True, help="version the record was made at, as an error gave it for a retry"),
+    cappa.Arg(
+        long=True, help="version the record was made at, from the error that advises a retry"
+    ),
 ]
 JsonOutput = t.Annotated[bool, cappa.Arg(long=True, help="machine-readable output")]
 
--- a/src/bulrushflow/standins/load.py
+++ b/src/bulrushflow/standins/load.py
@@ -114,7 +114,7 @@
 ) -> Calls:
     """Send calls at a fixed mean rate, independent of the response times.
 
-    Latency counts from the time that a call was due, so that it includes a delayed send.
+    Latency counts from the time that a call was due, so that a delayed send can't hide a wait.
 
     :param rate: calls per second over all nodes.
     :param timeout_s: time limit of one call, after which its caller disconnects.
--- a/src/bulrushflow/standins/log.py
+++ b/src/bulrushflow/standins/log.py
@@ -158,6 +158,7 @@
         return stream
 
     async def _is_down(self) -> bool:
+        """Wait for the injected delay, and return whether an outage is injected."""
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms / 1000)
         return self.faults.down
--- a/tests/operators/test_history.py
+++ b/tests/operators/test_history.py
@@ -93,13 +93,13 @@
 
     def test_records_before_the_first_known_state_have_the_verdicts_in_it(self) -> None:
         records = log_records(PLOTS, DANGLING, START)
-        whole = History(EMPTY_CONFIGURATION)
+        earlier = History(EMPTY_CONFIGURATION)
         for record in records[:2]:
-            whole.add(record)
-        late = History(whole.configuration)
+            earlier.add(record)
+        later = History(earlier.configuration)
         for record in records[1:]:
-            late.add(record)
-        verdicts = [e.verdict for e in late.events()]
+            later.add(record)
+        verdicts = [e.verdict for e in later.events()]
         self.assertTrue(verdicts[0].startswith("rejected"), verdicts)
         self.assertEqual(verdicts[1], "accepted")
 
