--- a/src/bulrushflow/operators/options.py
+++ b/src/bulrushflow/operators/options.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: options, exit status, and the way errors are told."""
+"""Options, exit statuses, error reporting and JSON output shared by the operators' commands."""
 
 import getpass
 import sys
@@ -33,18 +33,20 @@
     cappa.Arg(
         long="--node",
         default=cappa.Env("BULRUSHFLOW_NODE", default=DEFAULT_NODE),
-        help="operator URL of a node, or several with commas: the first that answers is asked; "
+        help="operator URL of a node, or several with commas: the first that responds is used; "
         "or BULRUSHFLOW_NODE",
     ),
 ]
-TimeoutS = t.Annotated[float, cappa.Arg(long=True, help="give up after so many seconds")]
+TimeoutS = t.Annotated[float, cappa.Arg(long=True, help="seconds after which the command fails")]
 Operator = t.Annotated[str | None, cappa.Arg(long=True, help="who publishes; default: the user")]
 PublishId = t.Annotated[
-    str | None, cappa.Arg(long=True, help="id to publish under, to repeat an unconfirmed publish")
+    str | None, cappa.Arg(long=True, help="id to publish under, to retry an unconfirmed publish")
 ]
 MadeAt = t.Annotated[
     int | None,
-    cappa.Arg(long=True, help="version the record was made at, when an error said to repeat it"),
+    cappa.Arg(
+        long=True, help="version the record was made at, from the error that advises a retry"
+    ),
 ]
 JsonOutput = t.Annotated[bool, cappa.Arg(long=True, help="machine-readable output")]
 
@@ -67,7 +69,7 @@
         return self.publish_id or new_publish_id()
 
 
-def usage(result: Result[T, str]) -> T:
+def expect_valid_input(result: Result[T, str]) -> T:
     """Return the value, or end with status 2 and the error."""
     return _unwrap(result, EXIT_USAGE)
 
@@ -77,17 +79,17 @@
     return _unwrap(result, EXIT_FAILED)
 
 
-def failure(reason: str, code: int) -> cappa.Exit:
-    """Tell an error on one line of standard error, and return what ends the program.
+def error_exit(reason: str, code: int) -> cappa.Exit:
+    """Print an error on one line of standard error, and return the exception that ends the program.
 
-    The command-line library would wrap the line, which keeps scripts from finding it.
+    The command-line library would wrap the line, so that scripts could not match it.
     """
     print(f"error: {reason}", file=sys.stderr)
     return cappa.Exit(code=code)
 
 
 def operator_name(given: str | None) -> str:
-    """Return who publishes: the name given, or the user of the operating system."""
+    """Return the operator's name: the one given, or the user of the operating system."""
     return given or getpass.getuser()
 
 
@@ -101,8 +103,8 @@
     return msgspec.json.encode(value).decode()
 
 
-async def get(node_url: str, path: str, kind: type[T]) -> T:
-    """Ask a node once, or end with status 1."""
+async def fetch(node_url: str, path: str, kind: type[T]) -> T:
+    """Return a node's decoded response, or end with status 1; without retries."""
     async with OperatorClient(DEFAULT_LOG, node_url, 0.0) as client:
         return expect(await client.get(path, kind))
 
@@ -112,4 +114,4 @@
         case Ok(value):
             return value
         case Err(reason):
-            raise failure(reason, code)
+            raise error_exit(reason, code)
--- a/src/bulrushflow/operators/story_command.py
+++ b/src/bulrushflow/operators/story_command.py
@@ -1,4 +1,4 @@
-"""The command that tells a request's story from log files."""
+"""The command ``story``, which shows a request's timeline from log files."""
 
 import pathlib
 import sys
@@ -11,10 +11,10 @@
 from result import Result
 
 from bulrushflow.operators.options import EXIT_FAILED
-from bulrushflow.operators.options import failure
-from bulrushflow.operators.options import usage
-from bulrushflow.operators.stories import format_story
-from bulrushflow.operators.stories import tell
+from bulrushflow.operators.options import error_exit
+from bulrushflow.operators.options import expect_valid_input
+from bulrushflow.operators.request_timeline import build_timeline
+from bulrushflow.operators.request_timeline import format_timeline
 
 AROUND_S = 2.0
 STANDARD_INPUT = "-"
@@ -23,9 +23,10 @@
 @cappa.command(name="story")
 @dataclass
 class StoryCommand:
-    """Tell what became of one request, from the nodes' log files.
+    """Show the timeline of one request, from the nodes' log files.
 
-    Shows the request's own lines, marked, and what the nodes that it touched believed around it.
+    The request's own lines are marked. The other lines are state changes of the nodes that
+    handled it, from about the same time.
     """
 
     request: t.Annotated[str, cappa.Arg(help="the request's id")]
@@ -39,11 +40,13 @@
     def __call__(self) -> None:
         lines: list[str] = []
         for name in self.logs:
-            lines += usage(_read(name))
-        story = tell(self.request, lines, self.around_s)
-        if story is None:
-            raise failure(f"none of {len(lines)} lines names request {self.request}", EXIT_FAILED)
-        print(format_story(story))
+            lines += expect_valid_input(_read(name))
+        timeline = build_timeline(self.request, lines, self.around_s)
+        if timeline is None:
+            raise error_exit(
+                f"none of {len(lines)} lines names request {self.request}", EXIT_FAILED
+            )
+        print(format_timeline(timeline))
 
 
 def _read(name: str) -> Result[list[str], str]:
