--- a/benchmarks/convergence.py
+++ b/benchmarks/convergence.py
@@ -46,7 +46,7 @@
 )
 
 
-class Bench:
+class NodeFleet:
     """The log, the publisher's connection to it, and the nodes."""
 
     def __init__(self, directory: pathlib.Path) -> None:
@@ -61,7 +61,7 @@
         self.session = aiohttp.ClientSession()
         await self._start_nodes(range(count))
 
-    async def restart_half(self) -> None:
+    async def replace_half(self) -> None:
         """Kill half of the nodes in each data centre, and start as many new ones at once."""
         half = len(self.nodes) // 2
         killed, self.nodes = self.nodes[:half], self.nodes[half:]
@@ -103,13 +103,13 @@
         offset = (await self.log.append(CONFIGURATION_STREAM, encode_record(record))).unwrap()
         return offset, sent_at
 
-    async def counts(self) -> dict[str, int]:
+    async def log_counts(self) -> dict[str, int]:
         """Return how many reads and appends the log served."""
         async with self.session.get(self.log_url + "/counts") as response:
             counts: dict[str, int] = await response.json()
             return counts
 
-    async def set_down(self, down: bool) -> None:
+    async def set_log_down(self, down: bool) -> None:
         """Begin or end an outage of the log."""
         async with self.session.post(self.log_url + "/faults", json={"down": down}) as response:
             response.raise_for_status()
@@ -136,59 +136,59 @@
             return False
 
 
-async def change(bench: Bench, count: int = 1) -> Figures:
+async def measure_change(fleet: NodeFleet, count: int = 1) -> Figures:
     """Publish some changes and return how long each node took from the last one on."""
     for _ in range(count):
-        offset, sent_at = await bench.publish()
-    times = await processes.all_in_force_at(bench.nodes, offset, CHANGE_TIMEOUT_S)
-    taken = sorted(at - sent_at for at in times if at is not None)
+        offset, sent_at = await fleet.publish()
+    times = await processes.wait_in_force(fleet.nodes, offset, CHANGE_TIMEOUT_S)
+    delays_s = sorted(at - sent_at for at in times if at is not None)
     return {
-        "nodes": len(taken),
-        "missing": len(times) - len(taken),
-        "p50_s": statistics.median(taken) if taken else None,
-        "last_s": taken[-1] if taken else None,
+        "nodes": len(delays_s),
+        "missing": len(times) - len(delays_s),
+        "p50_s": statistics.median(delays_s) if delays_s else None,
+        "last_s": delays_s[-1] if delays_s else None,
     }
 
 
 async def measure_nodes(count: int) -> Figures:
     """Return the figures with nodes that spread what their readers read."""
     with tempfile.TemporaryDirectory() as directory:
-        bench = Bench(pathlib.Path(directory))
+        fleet = NodeFleet(pathlib.Path(directory))
         started_at = time.monotonic()
         try:
-            await bench.start(count)
-            await bench.wait_ready()
+            await fleet.start(count)
+            await fleet.wait_ready()
             figures: Figures = {"ready_s": time.monotonic() - started_at}
-            start_counts = await bench.counts()
+            start_counts = await fleet.log_counts()
             figures["reads_to_ready"] = start_counts["reads"]
             figures["appends_to_ready"] = start_counts["appends"]
-            figures.update(await _measure_changes(bench))
+            figures.update(await _measure_changes(fleet))
             return figures
         finally:
-            await bench.stop()
+            await fleet.stop()
 
 
-async def _measure_changes(bench: Bench) -> Figures:
-    await bench.publish()
+async def _measure_changes(fleet: NodeFleet) -> Figures:
+    await fleet.publish()
     await asyncio.sleep(IDLE_S / 2)
-    sent = await bench.control_bytes()
-    before, processor_s = await bench.counts(), bench.processor_s()
+    sent = await fleet.control_bytes()
+    before, processor_s = await fleet.log_counts(), fleet.processor_s()
     await asyncio.sleep(IDLE_S)
-    idle, idle_processor_s = await bench.counts(), bench.processor_s() - processor_s
-    idle_sent = await bench.control_bytes() - sent
-    node_s = len(bench.nodes) * IDLE_S
-    single = [await change(bench) for _ in range(SINGLE_CHANGES)]
-    after_single = await bench.counts()
-    burst = await change(bench, BURST_CHANGES)
-    await bench.set_down(True)
+    idle, idle_processor_s = await fleet.log_counts(), fleet.processor_s() - processor_s
+    idle_sent = await fleet.control_bytes() - sent
+    node_s = len(fleet.nodes) * IDLE_S
+    single = [await measure_change(fleet) for _ in range(SINGLE_CHANGES)]
+    after_single = await fleet.log_counts()
+    burst = await measure_change(fleet, BURST_CHANGES)
+    await fleet.set_log_down(True)
     await asyncio.sleep(OUTAGE_S)
-    await bench.set_down(False)
-    after_outage = await change(bench)
-    before_restart, started_at = await bench.counts(), time.monotonic()
-    await bench.restart_half()
-    await bench.wait_ready()
+    await fleet.set_log_down(False)
+    after_outage = await measure_change(fleet)
+    before_restart, started_at = await fleet.log_counts(), time.monotonic()
+    await fleet.replace_half()
+    await fleet.wait_ready()
     restart_ready_s = time.monotonic() - started_at
-    after_restart = await bench.counts()
+    after_restart = await fleet.log_counts()
     return {
         "idle_reads_per_s": (idle["reads"] - before["reads"]) / IDLE_S,
         "idle_core_percent_per_node": 100 * idle_processor_s / node_s,
@@ -201,41 +201,44 @@
             "ready_s": restart_ready_s,
             "reads": after_restart["reads"] - before_restart["reads"],
             "appends": after_restart["appends"] - before_restart["appends"],
-            "change": await change(bench),
+            "change": await measure_change(fleet),
         },
-        "resident_mb_per_node": statistics.mean(n.resident_bytes() for n in bench.nodes) / 1e6,
+        "resident_mb_per_node": statistics.mean(n.resident_bytes() for n in fleet.nodes) / 1e6,
     }
 
 
 async def measure_polling(count: int, rng: random.Random) -> Figures:
     """Return the figures with every node polling the log once a second."""
     with tempfile.TemporaryDirectory() as directory:
-        bench = Bench(pathlib.Path(directory))
-        await bench.start(0)
-        seen_at: list[dict[int, float]] = [{} for _ in range(count)]
+        fleet = NodeFleet(pathlib.Path(directory))
+        await fleet.start(0)
+        seen_at_by_poller: list[dict[int, float]] = [{} for _ in range(count)]
         pollers = [
-            asyncio.create_task(_poll(bench.log_url, seen, rng.uniform(0, POLL_PERIOD_S)))
-            for seen in seen_at
+            asyncio.create_task(_poll(fleet.log_url, seen_at, rng.uniform(0, POLL_PERIOD_S)))
+            for seen_at in seen_at_by_poller
         ]
         try:
             await asyncio.sleep(2 * POLL_PERIOD_S)
-            before = await bench.counts()
+            before = await fleet.log_counts()
             await asyncio.sleep(IDLE_S)
-            after = await bench.counts()
+            after = await fleet.log_counts()
             last_s = []
             for _ in range(SINGLE_CHANGES):
-                offset, sent_at = await bench.publish()
+                offset, sent_at = await fleet.publish()
                 await asyncio.sleep(2 * POLL_PERIOD_S)
-                last_s.append(max(seen.get(offset, float("inf")) for seen in seen_at) - sent_at)
+                last_s.append(
+                    max(seen_at.get(offset, float("inf")) for seen_at in seen_at_by_poller)
+                    - sent_at
+                )
             reads_per_s = (after["reads"] - before["reads"]) / IDLE_S
             return {"idle_reads_per_s": reads_per_s, "single_last_s": last_s}
         finally:
             for poller in pollers:
                 poller.cancel()
-            await bench.stop()
+            await fleet.stop()
 
 
-async def _poll(log_url: str, seen: dict[int, float], phase_s: float) -> None:
+async def _poll(log_url: str, seen_at: dict[int, float], phase_s: float) -> None:
     log = HttpLog(log_url, REQUEST_TIMEOUT_S)
     next_offset = 0
     await asyncio.sleep(phase_s)
@@ -243,14 +246,14 @@
         while True:
             page = (await log.read(CONFIGURATION_STREAM, next_offset)).unwrap()
             for record in page.records:
-                seen[record.offset] = time.time()
+                seen_at[record.offset] = time.time()
             next_offset = page.next_offset
             await asyncio.sleep(POLL_PERIOD_S)
     finally:
         await log.close()
 
 
-def _print(count: int, figures: Figures, polling: Figures) -> None:
+def _print_figures(count: int, figures: Figures, polling: Figures) -> None:
     single = [c["last_s"] for c in figures["single"]]
     missing = sum(c["missing"] for c in [*figures["single"], figures["burst"]])
     restart = figures["restart_half"]
@@ -295,7 +298,7 @@
         for count in self.nodes or [10, 30]:
             figures = asyncio.run(measure_nodes(count))
             polling = asyncio.run(measure_polling(count, random.Random(self.seed)))
-            _print(count, figures, polling)
+            _print_figures(count, figures, polling)
             results.append({"count": count, "spreading": figures, "polling": polling})
         if self.json is not None:
             settings = {
--- a/benchmarks/fold.py
+++ b/benchmarks/fold.py
@@ -37,7 +37,7 @@
 
 SERVICES = 500
 ROUTES_PER_SERVICE = 3
-MOVES = 64
+ROLLOUTS = 64
 STEPS = 6
 PAGE_RECORDS = 500
 REPEATS = 5
@@ -60,7 +60,7 @@
                 routes={path: RouteBody(f"service-{i}") for path in paths},
             )
         )
-    for i in range(MOVES):
+    for i in range(ROLLOUTS):
         move_id = f"{rng.getrandbits(64):016x}"
         records.append(StartRollout(1, move_id, "operator", f"service-{i}", "v2", FAR_FUTURE_MS))
         for k in range(STEPS):
@@ -88,28 +88,28 @@
     return state
 
 
-def best_s(work: t.Callable[[], object]) -> float:
+def best_s(function: t.Callable[[], object]) -> float:
     """Return the shortest of several runs, in seconds."""
     times = []
     for _ in range(REPEATS):
         started_at = time.perf_counter()
-        work()
+        function()
         times.append(time.perf_counter() - started_at)
     return min(times)
 
 
-def held_bytes(build_up: t.Callable[[], object]) -> int:
+def retained_bytes(make: t.Callable[[], object]) -> int:
     """Return the memory of what ``build_up`` returns."""
     tracemalloc.start()
-    held = build_up()
+    value = make()
     gc.collect()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del held
+    del value
     return size
 
 
-def filled_store(log: list[LogRecord]) -> ConfigurationStore:
+def make_filled_store(log: list[LogRecord]) -> ConfigurationStore:
     """Return a node's store after a whole log, with the records that it holds for peers."""
     store = ConfigurationStore()
     for start in range(0, len(log), PAGE_RECORDS):
@@ -140,7 +140,7 @@
         "make_snapshot_ms": best_s(lambda: make_snapshot(state)) * 1e3,
         "open_snapshot_ms": best_s(lambda: open_snapshot(snapshot)) * 1e3,
         "snapshot_record_bytes": len(record),
-        "store_memory_bytes": held_bytes(lambda: filled_store(log)),
+        "store_memory_bytes": retained_bytes(lambda: make_filled_store(log)),
     }
 
 
--- a/benchmarks/mechanisms.py
+++ b/benchmarks/mechanisms.py
@@ -319,10 +319,10 @@
 
 async def check_all(mechanisms: t.Sequence[Mechanism], at_once: int) -> list[Finding]:
     """Check several mechanisms, a few at a time."""
-    gate = asyncio.Semaphore(at_once)
+    semaphore = asyncio.Semaphore(at_once)
 
     async def check_one(mechanism: Mechanism) -> Finding:
-        async with gate:
+        async with semaphore:
             return await check(mechanism)
 
     return await asyncio.gather(*map(check_one, mechanisms))
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -14,7 +14,7 @@
 from benchmarks import membership_costs
 from benchmarks.membership_fleet import DATA_CENTRES
 from benchmarks.membership_fleet import Fleet
-from benchmarks.membership_fleet import Process
+from benchmarks.membership_fleet import ParticipantProcess
 
 NOTE = "the machine was shared with other work"
 IDLE_S = 8.0
@@ -22,7 +22,7 @@
 PAUSE_S = 5.0
 LOSS_S = 25.0
 SETTLE_S = 3.0
-QUIET_S = 8.0
+DISSEMINATION_S = 8.0
 """Time after the start in which the news of the start is passed on."""
 
 
@@ -69,86 +69,88 @@
         fleet = Fleet(self.loss)
         await fleet.start_log()
         try:
-            return await (self._lossy(fleet) if self.loss else self._all(fleet))
+            return await (self._run_lossy(fleet) if self.loss else self._run_all(fleet))
         finally:
             await fleet.stop()
 
-    async def _all(self, fleet: Fleet) -> dict[str, t.Any]:
-        results = await self._start(fleet)
-        await asyncio.sleep(QUIET_S)
+    async def _run_all(self, fleet: Fleet) -> dict[str, t.Any]:
+        results = await self._measure_start(fleet)
+        await asyncio.sleep(DISSEMINATION_S)
         results["idle"] = await fleet.traffic(IDLE_S)
-        results["join known by all, s"] = await self._join(fleet)
-        results["drain known by all, s"] = await self._drain(fleet)
-        results.update(await self._kill(fleet))
-        results.update(await self._pause(fleet))
-        results["churn"] = await self._churn(fleet)
-        results.update(await self._half_restart(fleet))
+        results["join known by all, s"] = await self._measure_join(fleet)
+        results["drain known by all, s"] = await self._measure_drain(fleet)
+        results.update(await self._measure_kill(fleet))
+        results.update(await self._measure_pause(fleet))
+        results["churn"] = await self._measure_churn(fleet)
+        results.update(await self._measure_half_restart(fleet))
         return results
 
-    async def _lossy(self, fleet: Fleet) -> dict[str, t.Any]:
-        results = await self._start(fleet)
+    async def _run_lossy(self, fleet: Fleet) -> dict[str, t.Any]:
+        results = await self._measure_start(fleet)
         since = time.monotonic()
         await asyncio.sleep(LOSS_S)
-        results["false doubts"] = fleet.doubts(since, set(fleet.by_id))
+        results["false doubts"] = fleet.count_suspicions(since, set(fleet.by_id))
         results["seconds observed"] = LOSS_S
         return results
 
-    async def _start(self, fleet: Fleet) -> dict[str, t.Any]:
-        made = await fleet.add(self.nodes)
-        whole_at = await fleet.until_whole()
-        last = max(p.ready_at for p in made)
+    async def _measure_start(self, fleet: Fleet) -> dict[str, t.Any]:
+        added = await fleet.add(self.nodes)
+        complete_at = await fleet.wait_complete()
+        last = max(p.ready_at for p in added)
         counts = await fleet.log_counts()
         return {
-            "all start, whole after the last one, s": _since(whole_at, last),
+            "all start, whole after the last one, s": _delay(complete_at, last),
             "all start, log reads": counts["reads"],
             "all start, log appends": counts["appends"],
         }
 
-    async def _join(self, fleet: Fleet) -> dict[str, float]:
+    async def _measure_join(self, fleet: Fleet) -> dict[str, float]:
         (joiner,) = await fleet.add(1)
-        delays = await fleet.until_believed(joiner.node_id, {"ALIVE"}, joiner.ready_at)
-        return _spread(delays)
+        delays = await fleet.wait_recorded(joiner.node_id, {"ALIVE"}, joiner.ready_at)
+        return _distribution(delays)
 
-    async def _drain(self, fleet: Fleet) -> dict[str, float]:
+    async def _measure_drain(self, fleet: Fleet) -> dict[str, float]:
         delays = []
         for process in list(fleet.by_id.values())[:3]:
-            process.tell("drain")
-            await fleet.until(lambda p=process: p.draining_at > 0)  # type: ignore[misc]
-            delays += await fleet.until_believed(
+            process.send_command("drain")
+            await fleet.wait_for(lambda p=process: p.draining_at > 0)  # type: ignore[misc]
+            delays += await fleet.wait_recorded(
                 process.node_id, {"DRAINING"}, process.draining_at, 1
             )
-        return _spread(delays)
+        return _distribution(delays)
 
-    async def _kill(self, fleet: Fleet) -> dict[str, t.Any]:
-        victim = list(fleet.by_id.values())[-1]
+    async def _measure_kill(self, fleet: Fleet) -> dict[str, t.Any]:
+        killed = list(fleet.by_id.values())[-1]
         killed_at = time.monotonic()
-        others = set(fleet.by_id) - {victim.node_id}
-        await fleet.remove(victim, signal.SIGKILL)
-        suspected = await fleet.until_believed(victim.node_id, {"SUSPECT", "DEAD"}, killed_at)
-        dead = await fleet.until_believed(victim.node_id, {"DEAD"}, killed_at)
+        others = set(fleet.by_id) - {killed.node_id}
+        await fleet.remove(killed, signal.SIGKILL)
+        suspected_delays = await fleet.wait_recorded(killed.node_id, {"SUSPECT", "DEAD"}, killed_at)
+        dead_delays = await fleet.wait_recorded(killed.node_id, {"DEAD"}, killed_at)
         return {
-            "kill out of routing on all, s": _spread(suspected),
-            "kill held dead by all, s": _spread(dead),
-            "kill, doubts of others": fleet.doubts(killed_at, others),
+            "kill out of routing on all, s": _distribution(suspected_delays),
+            "kill held dead by all, s": _distribution(dead_delays),
+            "kill, doubts of others": fleet.count_suspicions(killed_at, others),
         }
 
-    async def _pause(self, fleet: Fleet) -> dict[str, t.Any]:
+    async def _measure_pause(self, fleet: Fleet) -> dict[str, t.Any]:
         paused = next(iter(fleet.by_id.values()))
-        began = time.monotonic()
+        paused_at = time.monotonic()
         paused.send_signal(signal.SIGSTOP)
         await asyncio.sleep(PAUSE_S)
         paused.send_signal(signal.SIGCONT)
-        resumed = time.monotonic()
-        whole_at = await fleet.until_whole()
+        resumed_at = time.monotonic()
+        complete_at = await fleet.wait_complete()
         await asyncio.sleep(SETTLE_S)
         return {
-            "pause, whole again after, s": _since(whole_at, resumed),
-            "pause, doubts of the paused one": fleet.doubts(began, {paused.node_id}),
-            "pause, doubts of others": fleet.doubts(began, set(fleet.by_id) - {paused.node_id}),
+            "pause, whole again after, s": _delay(complete_at, resumed_at),
+            "pause, doubts of the paused one": fleet.count_suspicions(paused_at, {paused.node_id}),
+            "pause, doubts of others": fleet.count_suspicions(
+                paused_at, set(fleet.by_id) - {paused.node_id}
+            ),
         }
 
-    async def _churn(self, fleet: Fleet) -> dict[str, t.Any]:
-        async def replace_one(process: Process) -> None:
+    async def _measure_churn(self, fleet: Fleet) -> dict[str, t.Any]:
+        async def replace_one(process: ParticipantProcess) -> None:
             await fleet.remove(process, "leave")
             await fleet.add(1)
 
@@ -163,25 +165,25 @@
         churn = asyncio.create_task(replace_some())
         traffic = await fleet.traffic(CHURN_S)
         await churn
-        await fleet.until_whole()
+        await fleet.wait_complete()
         return traffic
 
-    async def _half_restart(self, fleet: Fleet) -> dict[str, t.Any]:
+    async def _measure_half_restart(self, fleet: Fleet) -> dict[str, t.Any]:
         before = await fleet.log_counts()
-        victims = list(fleet.by_id.values())[: len(fleet.by_id) // 2]
+        killed = list(fleet.by_id.values())[: len(fleet.by_id) // 2]
         traffic = asyncio.create_task(fleet.traffic(IDLE_S))
         await asyncio.sleep(0.5)
-        await asyncio.gather(*(fleet.remove(v, signal.SIGKILL) for v in victims))
-        made = await fleet.add(len(victims))
-        whole_at = await fleet.until_whole()
+        await asyncio.gather(*(fleet.remove(p, signal.SIGKILL) for p in killed))
+        added = await fleet.add(len(killed))
+        complete_at = await fleet.wait_complete()
         after = await fleet.log_counts()
-        known = [at for p in made for at, i, b in p.history if b[0] == "ALIVE"]
+        alive_changes = [at for p in added for at, i, s in p.history if s[0] == "ALIVE"]
         return {
             "half restarted": await traffic,
-            "half restarted, whole after, s": _since(whole_at, max(p.ready_at for p in made)),
+            "half restarted, whole after, s": _delay(complete_at, max(p.ready_at for p in added)),
             "half restarted, log reads": after["reads"] - before["reads"],
             "half restarted, log appends": after["appends"] - before["appends"],
-            "half restarted, beliefs of the new ones": len(known),
+            "half restarted, beliefs of the new ones": len(alive_changes),
         }
 
 
@@ -200,22 +202,22 @@
     print(", ".join(f"{k} {v}" for k, v in settings.items()), f"({NOTE})")
     for name, value in results.items():
         if isinstance(value, dict):
-            value = ", ".join(f"{k} {_short(v)}" for k, v in value.items())
-        print(f"  {name:45} {_short(value)}")
+            value = ", ".join(f"{k} {_rounded(v)}" for k, v in value.items())
+        print(f"  {name:45} {_rounded(value)}")
     if path is not None:
         document = {"settings": settings, "note": NOTE, "results": results}
         path.write_text(json.dumps(document, indent=2) + "\n", encoding="utf-8")
 
 
-def _short(value: t.Any) -> t.Any:
+def _rounded(value: t.Any) -> t.Any:
     return round(value, 2) if isinstance(value, float) else value
 
 
-def _since(at: float | None, since: float) -> float | None:
+def _delay(at: float | None, since: float) -> float | None:
     return None if at is None else at - since
 
 
-def _spread(delays: list[float]) -> dict[str, float]:
+def _distribution(delays: list[float]) -> dict[str, float]:
     if not delays:
         return {"count": 0}
     return {
--- a/benchmarks/membership_costs.py
+++ b/benchmarks/membership_costs.py
@@ -38,7 +38,7 @@
     ]
 
 
-def fill(members: list[Member]) -> MemberTable:
+def make_table(members: list[Member]) -> MemberTable:
     """Return the table of the first member."""
     table = MemberTable(members[0])
     for member in members[1:]:
@@ -46,14 +46,14 @@
     return table
 
 
-def measure(work: t.Callable[[int], object], repeats: int = REPEATS) -> float:
+def measure(function: t.Callable[[int], object], repeats: int = REPEATS) -> float:
     """Return the microseconds of one call, the least of five rounds."""
     rounds = []
     for _ in range(5):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         for i in range(repeats):
-            work(i)
-        rounds.append((time.perf_counter() - began) / repeats * 1e6)
+            function(i)
+        rounds.append((time.perf_counter() - started_at) / repeats * 1e6)
     return min(rounds)
 
 
@@ -62,25 +62,25 @@
     rng = random.Random(seed)
     members = make_members(count, services)
     tracemalloc.start()
-    kept = make_members(count, services)
-    table = fill(kept)
+    traced_members = make_members(count, services)
+    table = make_table(traced_members)
     table.live_members()
     table.live_peers()
     memory_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     composer = MessageComposer(table, SharedRollouts(), lambda: 0)
     order = ProbeOrder(rng)
-    raised = [replace(m, incarnation=m.incarnation + 1) for m in members[1:]]
-    merges = iter(raised * 2)
-    near = table.in_data_centre(members[0].data_centre)
+    newer = [replace(m, incarnation=m.incarnation + 1) for m in members[1:]]
+    merges = iter(newer * 2)
+    local_members = table.in_data_centre(members[0].data_centre)
     for member in members[1:200]:
         composer.enqueue(member)
-    full = composer.encode_datagram((), ping=messages.Ping(sequence=1))
-    quiet = MessageComposer(table, SharedRollouts(), lambda: 0)
-    empty = quiet.encode_datagram((), ping=messages.Ping(sequence=1))
+    full_datagram = composer.encode_datagram((), ping=messages.Ping(sequence=1))
+    empty_composer = MessageComposer(table, SharedRollouts(), lambda: 0)
+    empty_datagram = empty_composer.encode_datagram((), ping=messages.Ping(sequence=1))
     results = {
         "merge of a claim that is news": measure(lambda i: table.merge(next(merges), 1.0)),
-        "merge of a claim that is held": measure(lambda i: table.merge(raised[0], 1.0)),
+        "merge of a claim that is held": measure(lambda i: table.merge(newer[0], 1.0)),
         "ready targets, table unchanged": measure(
             lambda i: table.ready_targets(f"service-{i % services}", "2026-12-04.1")
         ),
@@ -88,50 +88,57 @@
             lambda i: [m for m in table.by_id.values() if m.ready_version == ("service-1", "v")],
             20,
         ),
-        "list of live members after a change": measure(lambda i: _rebuilt(table), 50),
-        "digest of a changed table": measure(lambda i: _digest(table)),
+        "list of live members after a change": measure(lambda i: _update_and_list(table), 50),
+        "digest of a changed table": measure(lambda i: _update_and_digest(table)),
         "differing buckets": measure(lambda i: table.differing_buckets(table.bucket_digests())),
         "rendezvous in one data centre, chosen": measure(
-            lambda i: is_top_ranked(near, "x", near[0].node_id, len(near)), 50
+            lambda i: is_top_ranked(
+                local_members, "x", local_members[0].node_id, len(local_members)
+            ),
+            50,
         ),
         "rendezvous in one data centre, usual": measure(
-            lambda i: is_top_ranked(near, "x", near[i % len(near)].node_id, 2)
+            lambda i: is_top_ranked(
+                local_members, "x", local_members[i % len(local_members)].node_id, 2
+            )
         ),
         "choice of the next probe": measure(lambda i: order.next(table)),
         "encode a datagram without news": measure(
-            lambda i: quiet.encode_datagram((), ping=messages.Ping(sequence=1))
+            lambda i: empty_composer.encode_datagram((), ping=messages.Ping(sequence=1))
         ),
         "decode a datagram without news": measure(
-            lambda i: messages.decode(messages.Datagram, empty)
+            lambda i: messages.decode(messages.Datagram, empty_datagram)
         ),
-        f"encode a datagram of {len(full)} bytes": measure(
-            lambda i: _encode_full(composer, members)
+        f"encode a datagram of {len(full_datagram)} bytes": measure(
+            lambda i: _enqueue_and_encode(composer, members)
+        ),
+        f"decode a datagram of {len(full_datagram)} bytes": measure(
+            lambda i: _decode_members(full_datagram)
         ),
-        f"decode a datagram of {len(full)} bytes": measure(lambda i: _decode(full)),
         "memory of the table, MB": memory_mb,
         "bytes of a member in a message": sum(map(codec.member_size, members)) / count,
-        "bytes of a datagram without news": len(empty),
+        "bytes of a datagram without news": len(empty_datagram),
     }
     return {name: round(value, 3) for name, value in results.items()}
 
 
-def _rebuilt(table: MemberTable) -> None:
+def _update_and_list(table: MemberTable) -> None:
     table.update_own()
     table.live_peers()
 
 
-def _digest(table: MemberTable) -> None:
+def _update_and_digest(table: MemberTable) -> None:
     table.update_own()
     table.digest()
 
 
-def _encode_full(composer: MessageComposer, members: list[Member]) -> None:
+def _enqueue_and_encode(composer: MessageComposer, members: list[Member]) -> None:
     for member in members[1:10]:
         composer.enqueue(member)
     composer.encode_datagram((), ping=messages.Ping(sequence=1))
 
 
-def _decode(data: bytes) -> None:
+def _decode_members(data: bytes) -> None:
     datagram = messages.decode(messages.Datagram, data).unwrap()
     for message in datagram.gossip.members:
         codec.member_from_message(message)
--- a/benchmarks/membership_fleet.py
+++ b/benchmarks/membership_fleet.py
@@ -14,15 +14,15 @@
 import aiohttp
 
 DATA_CENTRES = ("celje-a", "celje-b", "velenje")
-GUARD_S = 60.0
-READY_S = 60.0
-REPORT_S = 3.0
+WAIT_TIMEOUT_S = 60.0
+READY_TIMEOUT_S = 60.0
+REPORT_TIMEOUT_S = 3.0
 ROOT = pathlib.Path(__file__).parent.parent
 
-Belief = tuple[str, str]
+RecordedState = tuple[str, str]
 
 
-class Process:
+class ParticipantProcess:
     """One participant and what it printed."""
 
     def __init__(self, node_id: str, process: asyncio.subprocess.Process) -> None:
@@ -30,25 +30,25 @@
         self.process = process
         self.ready_at = 0.0
         self.draining_at = 0.0
-        self.beliefs: dict[str, tuple[float, Belief]] = {}
-        self.history: list[tuple[float, str, Belief]] = []
+        self.states_by_id: dict[str, tuple[float, RecordedState]] = {}
+        self.history: list[tuple[float, str, RecordedState]] = []
         self.report: dict[str, t.Any] = {}
         self._reported = asyncio.Event()
         self._ready = asyncio.Event()
         self.reader = asyncio.create_task(self._read())
 
-    async def until_ready(self) -> None:
+    async def wait_ready(self) -> None:
         """Wait until its sockets are open."""
-        await asyncio.wait_for(self._ready.wait(), READY_S)
+        await asyncio.wait_for(self._ready.wait(), READY_TIMEOUT_S)
 
     async def fetch_report(self) -> dict[str, t.Any]:
         """Return its counts."""
         self._reported.clear()
-        self.tell("report")
-        await asyncio.wait_for(self._reported.wait(), REPORT_S)
+        self.send_command("report")
+        await asyncio.wait_for(self._reported.wait(), REPORT_TIMEOUT_S)
         return self.report
 
-    def tell(self, command: str) -> None:
+    def send_command(self, command: str) -> None:
         """Send a command."""
         assert self.process.stdin is not None
         self.process.stdin.write(f"{command}\n".encode())
@@ -71,9 +71,9 @@
                     self.report = event
                     self._reported.set()
                 case _:
-                    belief = (event["belief"][0], event["belief"][1])
-                    self.beliefs[event["id"]] = (event["at"], belief)
-                    self.history.append((event["at"], event["id"], belief))
+                    state = (event["belief"][0], event["belief"][1])
+                    self.states_by_id[event["id"]] = (event["at"], state)
+                    self.history.append((event["at"], event["id"], state))
 
 
 class Fleet:
@@ -81,7 +81,7 @@
 
     def __init__(self, loss: float) -> None:
         self.loss = loss
-        self.by_id: dict[str, Process] = {}
+        self.by_id: dict[str, ParticipantProcess] = {}
         self.started = 0
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
@@ -115,9 +115,9 @@
             counts: dict[str, int] = await response.json()
             return counts
 
-    async def add(self, count: int) -> list[Process]:
+    async def add(self, count: int) -> list[ParticipantProcess]:
         """Start participants and wait until their sockets are open."""
-        made = []
+        added = []
         for _ in range(count):
             number = self.started
             self.started += 1
@@ -134,18 +134,18 @@
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
             )
-            self.by_id[node_id] = Process(node_id, process)
-            made.append(self.by_id[node_id])
-        await asyncio.gather(*(p.until_ready() for p in made))
-        return made
+            self.by_id[node_id] = ParticipantProcess(node_id, process)
+            added.append(self.by_id[node_id])
+        await asyncio.gather(*(p.wait_ready() for p in added))
+        return added
 
-    async def remove(self, process: Process, command: str | int) -> None:
+    async def remove(self, process: ParticipantProcess, command: str | int) -> None:
         """Have a participant leave, or end it with a signal."""
         del self.by_id[process.node_id]
         if isinstance(command, int):
             process.send_signal(command)
         else:
-            process.tell(command)
+            process.send_command(command)
         await process.process.wait()
         await process.reader
 
@@ -157,43 +157,46 @@
         self.log.terminate()
         await self.log.wait()
 
-    async def until(self, condition: t.Callable[[], bool]) -> bool:
+    async def wait_for(self, condition: t.Callable[[], bool]) -> bool:
         """Wait until a condition holds; ``False`` when it did not in time."""
-        end = time.monotonic() + GUARD_S
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < end:
             if condition():
                 return True
             await asyncio.sleep(0.05)
         return False
 
-    async def until_whole(self) -> float | None:
+    async def wait_complete(self) -> float | None:
         """Wait until each participant holds exactly the others alive; return when, if it did."""
         ids = set(self.by_id)
 
-        def whole() -> bool:
+        def complete() -> bool:
             return all(
-                {i for i, (_, b) in p.beliefs.items() if b[0] == "ALIVE"} | {p.node_id} == ids
+                {i for i, (_, s) in p.states_by_id.items() if s[0] == "ALIVE"} | {p.node_id} == ids
                 for p in self.by_id.values()
             )
 
-        if not await self.until(whole):
+        if not await self.wait_for(complete):
             return None
-        return max(at for p in self.by_id.values() for at, _ in p.beliefs.values())
+        return max(at for p in self.by_id.values() for at, _ in p.states_by_id.values())
 
-    async def until_believed(
-        self, node_id: str, beliefs: t.Collection[str], since: float, index: int = 0
+    async def wait_recorded(
+        self, node_id: str, states: t.Collection[str], since: float, index: int = 0
     ) -> list[float]:
         """Wait until all others hold one of some beliefs of a node; return the delays in s."""
         others = [p for p in self.by_id.values() if p.node_id != node_id]
 
-        def held(process: Process) -> bool:
-            return node_id in process.beliefs and process.beliefs[node_id][1][index] in beliefs
+        def recorded(process: ParticipantProcess) -> bool:
+            return (
+                node_id in process.states_by_id
+                and process.states_by_id[node_id][1][index] in states
+            )
 
-        await self.until(lambda: all(held(p) for p in others))
+        await self.wait_for(lambda: all(recorded(p) for p in others))
         return [
-            min(at for at, i, b in p.history if i == node_id and b[index] in beliefs) - since
+            min(at for at, i, s in p.history if i == node_id and s[index] in states) - since
             for p in others
-            if held(p)
+            if recorded(p)
         ]
 
     async def traffic(self, seconds: float) -> dict[str, t.Any]:
@@ -201,17 +204,17 @@
         before = await self._reports()
         await asyncio.sleep(seconds)
         after = await self._reports()
-        lasting = [i for i in after if i in before]
+        surviving = [i for i in after if i in before]
         rates: dict[str, list[float]] = {"sent": [], "received": [], "cpu": []}
         kinds: dict[str, float] = {}
-        for node_id in lasting:
+        for node_id in surviving:
             first, last = before[node_id], after[node_id]
             span_s = last["at"] - first["at"]
             totals = {"sent": 0.0, "received": 0.0}
             for kind, count in last["bytes_by_kind"].items():
                 rate = (count - first["bytes_by_kind"].get(kind, 0)) / span_s
                 totals[kind.split()[0]] += rate
-                kinds[kind] = kinds.get(kind, 0.0) + rate / len(lasting)
+                kinds[kind] = kinds.get(kind, 0.0) + rate / len(surviving)
             rates["sent"].append(totals["sent"])
             rates["received"].append(totals["received"])
             rates["cpu"].append((last["cpu_s"] - first["cpu_s"]) / span_s * 100)
@@ -226,16 +229,18 @@
 
     async def _reports(self) -> dict[str, dict[str, t.Any]]:
         """Return the counts of all that live on until they have answered."""
-        asked = list(self.by_id.values())
-        reports = await asyncio.gather(*(p.fetch_report() for p in asked), return_exceptions=True)
-        pairs = zip(asked, reports, strict=True)
+        participants = list(self.by_id.values())
+        reports = await asyncio.gather(
+            *(p.fetch_report() for p in participants), return_exceptions=True
+        )
+        pairs = zip(participants, reports, strict=True)
         return {p.node_id: r for p, r in pairs if isinstance(r, dict)}
 
-    def doubts(self, since: float, node_ids: t.Collection[str]) -> dict[str, int]:
+    def count_suspicions(self, since: float, node_ids: t.Collection[str]) -> dict[str, int]:
         """Count the suspicions and deaths of some nodes that were believed since a time."""
         counts = {"SUSPECT": 0, "DEAD": 0}
         for process in self.by_id.values():
-            for at, node_id, belief in process.history:
-                if at >= since and node_id in node_ids and belief[0] in counts:
-                    counts[belief[0]] += 1
+            for at, node_id, state in process.history:
+                if at >= since and node_id in node_ids and state[0] in counts:
+                    counts[state[0]] += 1
         return counts
--- a/benchmarks/membership_participant.py
+++ b/benchmarks/membership_participant.py
@@ -30,7 +30,7 @@
 from bulrushflow.wire import Links
 from bulrushflow.wire.links import Endpoint
 
-PORT_TRIES = 20
+MAX_PORT_ATTEMPTS = 20
 
 
 class LossyTransport:
@@ -61,11 +61,11 @@
         self.rng = random.Random(node_id)
         self.log = HttpLog(log_url, 5.0)
         self.bytes_by_kind: dict[str, int] = {}
-        self._believed: dict[str, tuple[str, str]] = {}
+        self._reported_states: dict[str, tuple[str, str]] = {}
 
     async def start(self) -> None:
         """Start on free ports and print that this process is ready."""
-        for _ in range(PORT_TRIES):
+        for _ in range(MAX_PORT_ATTEMPTS):
             self.timers = Timers(self.rng)
             await self.timers.start()
             self.links = Links("127.0.0.1", 0, self.timers)
@@ -149,11 +149,11 @@
     def _observe(self) -> None:
         now = time.monotonic()
         for member in self.table.by_id.values():
-            state = member.target.state.name if member.target is not None else ""
-            belief = (member.status.name, state)
-            if self._believed.get(member.node_id) != belief:
-                self._believed[member.node_id] = belief
-                emit({"event": "belief", "at": now, "id": member.node_id, "belief": belief})
+            target_state = member.target.state.name if member.target is not None else ""
+            state = (member.status.name, target_state)
+            if self._reported_states.get(member.node_id) != state:
+                self._reported_states[member.node_id] = state
+                emit({"event": "belief", "at": now, "id": member.node_id, "belief": state})
 
     def _count(self, direction: str, kind: str, count: int) -> None:
         key = f"{direction} {kind}"
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -27,16 +27,16 @@
     process: asyncio.subprocess.Process
     output: pathlib.Path
 
-    async def wait_for(self, pattern: re.Pattern[str]) -> re.Match[str]:
+    async def wait_for_output(self, pattern: re.Pattern[str]) -> re.Match[str]:
         """Return the first match in the output.
 
         :raises TimeoutError: when there is none in time.
         """
         async with asyncio.timeout(START_TIMEOUT_S):
             while True:
-                found = pattern.search(self.output.read_text())
-                if found:
-                    return found
+                match = pattern.search(self.output.read_text())
+                if match:
+                    return match
                 await asyncio.sleep(POLL_S)
 
     async def stop(self) -> None:
@@ -72,8 +72,8 @@
 async def start_log(directory: pathlib.Path) -> tuple[Program, str]:
     """Start the log's stand-in; return it and its URL."""
     program = await start("bulrushflow-standin-log", directory / "log.err")
-    found = await program.wait_for(re.compile(r"listens on 127\.0\.0\.1:(\d+)"))
-    return program, f"http://127.0.0.1:{found[1]}"
+    match = await program.wait_for_output(re.compile(r"listens on 127\.0\.0\.1:(\d+)"))
+    return program, f"http://127.0.0.1:{match[1]}"
 
 
 async def start_node(
@@ -98,29 +98,29 @@
 
 async def operator_url(node: Program) -> str:
     """Return the URL of a node's operator endpoint once it listens."""
-    found = await node.wait_for(_PORTS)
-    return f"http://127.0.0.1:{found[4]}"
+    match = await node.wait_for_output(_PORTS)
+    return f"http://127.0.0.1:{match[4]}"
 
 
 def in_force_at(node: Program, offset: int) -> float | None:
     """Return when a node had a version in force, in epoch seconds; ``None`` while it has not."""
     for line in node.output.read_text().splitlines():
-        found = _VERSION.search(line)
-        if found and int(found[1]) >= offset:
+        match = _VERSION.search(line)
+        if match and int(match[1]) >= offset:
             return datetime.datetime.fromisoformat(json.loads(line)["time"]).timestamp()
     return None
 
 
-async def all_in_force_at(
+async def wait_in_force(
     nodes: t.Sequence[Program], offset: int, timeout_s: float
 ) -> list[float | None]:
     """Return when each node had a version in force, ``None`` for those that did not in time."""
-    ends_at = time.monotonic() + timeout_s
+    deadline = time.monotonic() + timeout_s
     times: list[float | None] = [None] * len(nodes)
     while True:
         for i, node in enumerate(nodes):
             if times[i] is None:
                 times[i] = in_force_at(node, offset)
-        if all(at is not None for at in times) or time.monotonic() >= ends_at:
+        if all(at is not None for at in times) or time.monotonic() >= deadline:
             return times
         await asyncio.sleep(POLL_S)
