--- a/tests/processes/fleet.py
+++ b/tests/processes/fleet.py
@@ -18,13 +18,13 @@
 from bulrushflow.configuration import Verdict
 from bulrushflow.operators.client import OperatorClient
 from bulrushflow.operators.endpoint import NodeStatus
-from tests.processes.programs import GUARD_S
+from tests.processes.programs import WAIT_TIMEOUT_S
 from tests.processes.programs import Program
 from tests.processes.programs import load_summary
 from tests.processes.programs import until
 
 GOSSIP = {"period_s": 0.2, "ack_timeout_s": 0.3, "suspicion_s": 1.5}
-PLACES = (
+PLACEMENTS = (
     ("celje-a", "plots"),
     ("celje-a", "payments"),
     ("velenje", "plots"),
@@ -33,7 +33,7 @@
 """Two services in two data centres, a target of each in each."""
 FIRST_SEED = 10
 PATHS = ("/plots/7", "/payments/7")
-BROKEN = ("lost", "doubled", "crossed", "cut", "false_not_run")
+VIOLATIONS = ("lost", "doubled", "crossed", "cut", "false_not_run")
 
 IDEMPOTENT_PATHS = ("/plots",)
 PLOTS_AND_PAYMENTS = Configure(
@@ -115,19 +115,22 @@
         self._programs.append(started)
         return started
 
-    async def start(self, *places: tuple[str, str]) -> None:
+    async def start(self, *placements: tuple[str, str]) -> None:
         """Start the log, and a node and a target for each data centre and service."""
         self._session = aiohttp.ClientSession()
         log = await self.start_program("bulrushflow-standin-log", "log")
-        self.log_url = "http://" + (await log.logged(r"listens on (127\S+:\d+)"))[1]
+        self.log_url = "http://" + (await log.wait_for_log(r"listens on (127\S+:\d+)"))[1]
         await asyncio.gather(
-            *(self.start_pair(f"{dc}-{i}", dc, service) for i, (dc, service) in enumerate(places))
+            *(
+                self.start_pair(f"{dc}-{i}", dc, service)
+                for i, (dc, service) in enumerate(placements)
+            )
         )
-        await self.wait_ready(len(places))
+        await self.wait_ready(len(placements))
 
-    async def start_serving(self, *places: tuple[str, str]) -> None:
+    async def start_serving(self, *placements: tuple[str, str]) -> None:
         """Start as :meth:`start` does, with the services and routes in force everywhere."""
-        await self.start(*places)
+        await self.start(*placements)
         verdict = await self.publish(PLOTS_AND_PAYMENTS)
         await self.wait_converged(verdict.offset)
 
@@ -156,7 +159,7 @@
         file = self._directory / f"{name}.json"
         file.write_bytes(msgspec.json.encode(settings))
         program = await self.start_program("bulrushflow-node", name, str(file))
-        ports = await program.logged(
+        ports = await program.wait_for_log(
             r"listens on \S+ callers (\d+), nodes (\d+), target (\d+), operators (\d+)"
         )
         node = FleetNode(name, program, [int(port) for port in ports.groups()])
@@ -173,7 +176,7 @@
             *("--service", service, "--version", version, "--cold-s", "0.1"),
             *("--node", f"http://127.0.0.1:{announce_port}", *arguments),
         )
-        address = (await target.logged(r"listens on (127\S+:\d+)"))[1]
+        address = (await target.wait_for_log(r"listens on (127\S+:\d+)"))[1]
         self.target_urls_by_name[name] = f"http://{address}"
 
     async def kill(self, node: FleetNode) -> None:
@@ -185,7 +188,7 @@
         """Ask a node for its status."""
         return msgspec.json.decode(await self.get(node.operator_url + "/status"), type=NodeStatus)
 
-    async def get(self, url: str, timeout_s: float = GUARD_S) -> bytes:
+    async def get(self, url: str, timeout_s: float = WAIT_TIMEOUT_S) -> bytes:
         """Return the body at a URL, whatever the status.
 
         :raises TimeoutError: when no answer came in time.
@@ -216,19 +219,19 @@
 
     async def wait_converged(self, offset: int) -> NodeStatus:
         """Wait until all nodes hold one digest at a version or a later one."""
-        held: list[NodeStatus] = []
+        statuses: list[NodeStatus] = []
 
         async def converged() -> bool:
-            held[:] = await asyncio.gather(*(self.status(node) for node in self.nodes))
-            return len({s.digest for s in held}) == 1 and held[0].offset >= offset
+            statuses[:] = await asyncio.gather(*(self.status(node) for node in self.nodes))
+            return len({s.digest for s in statuses}) == 1 and statuses[0].offset >= offset
 
         await until(converged, f"one digest at version {offset} or later")
-        return held[0]
+        return statuses[0]
 
     async def publish(self, record: Record, via: FleetNode | None = None) -> Verdict:
         """Publish as the operators' command does; return the verdict."""
         node = via or self.nodes[0]
-        async with OperatorClient(self.log_url, node.operator_url, GUARD_S) as client:
+        async with OperatorClient(self.log_url, node.operator_url, WAIT_TIMEOUT_S) as client:
             return (await client.publish(record)).unwrap()
 
     async def verdicts(self, publish_id: str) -> list[Verdict]:
@@ -268,11 +271,11 @@
         self.fleet = Fleet()
         self.addAsyncCleanup(self.fleet.close)
 
-    async def assert_calls_whole(self, load: Program) -> dict[str, t.Any]:
+    async def assert_calls_intact(self, load: Program) -> dict[str, t.Any]:
         """Check that no call was lost, doubled, crossed, cut or falsely said not to have run."""
         summary = await load_summary(load)
-        broken = {name: summary[name] for name in BROKEN if summary[name]}
-        self.assertFalse(broken, summary)
+        violations = {name: summary[name] for name in VIOLATIONS if summary[name]}
+        self.assertFalse(violations, summary)
         self.assertGreater(summary["answered"], 0, summary)
         return summary
 
--- a/tests/processes/programs.py
+++ b/tests/processes/programs.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-GUARD_S = 60.0
+WAIT_TIMEOUT_S = 60.0
 """Only ends a test that would wait for ever; no verdict depends on it."""
 POLL_S = 0.05
 SOURCE = pathlib.Path(__file__).resolve().parents[2] / "src"
@@ -32,7 +32,7 @@
     :param what: said in the failure when it never does.
     """
     try:
-        async with asyncio.timeout(GUARD_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 if await condition():
                     return
@@ -87,7 +87,7 @@
         """Return what the program has written to standard error."""
         return self._log.read_text(encoding="utf-8", errors="replace")
 
-    async def logged(self, pattern: str) -> re.Match[str]:
+    async def wait_for_log(self, pattern: str) -> re.Match[str]:
         """Wait for a line of the log that matches."""
         found: list[re.Match[str]] = []
 
@@ -109,7 +109,7 @@
 
     async def output(self) -> tuple[int, str]:
         """Wait for the end; return the exit status and the standard output."""
-        async with asyncio.timeout(GUARD_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             status = await self._process.wait()
         return status, self._log.with_suffix(".out").read_text(encoding="utf-8")
 
@@ -121,7 +121,7 @@
     async def terminate(self) -> int:
         """Ask the process to stop; return its exit status."""
         self.signal(signal.SIGTERM)
-        async with asyncio.timeout(GUARD_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await self._process.wait()
 
 
--- a/tests/processes/relay.py
+++ b/tests/processes/relay.py
@@ -15,7 +15,7 @@
         self.port = 0
         self.opened = 0
         self.target_port = target_port
-        self._silent_up_to = 0
+        self._last_silenced = 0
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: list[asyncio.StreamWriter] = []
@@ -35,30 +35,30 @@
 
     def silence(self) -> None:
         """Swallow all further bytes on the connections that are open now."""
-        self._silent_up_to = self.opened
+        self._last_silenced = self.opened
 
     async def _accept(
-        self, near_reader: asyncio.StreamReader, near_writer: asyncio.StreamWriter
+        self, client_reader: asyncio.StreamReader, client_writer: asyncio.StreamWriter
     ) -> None:
         self.opened += 1
         number = self.opened
-        far_reader, far_writer = await asyncio.open_connection("127.0.0.1", self.target_port)
-        self._writers += [near_writer, far_writer]
-        for reader, writer in ((near_reader, far_writer), (far_reader, near_writer)):
-            task = asyncio.create_task(self._pass(number, reader, writer))
+        target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self.target_port)
+        self._writers += [client_writer, target_writer]
+        for reader, writer in ((client_reader, target_writer), (target_reader, client_writer)):
+            task = asyncio.create_task(self._forward(number, reader, writer))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _pass(
+    async def _forward(
         self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
             while data := await reader.read(CHUNK_BYTES):
-                if number > self._silent_up_to:
+                if number > self._last_silenced:
                     writer.write(data)
                     await writer.drain()
         except OSError:
             pass
         # An end that closes a silent connection is not heard of by the other end either.
-        if number > self._silent_up_to:
+        if number > self._last_silenced:
             writer.close()
--- a/tests/processes/test_command_line.py
+++ b/tests/processes/test_command_line.py
@@ -78,7 +78,7 @@
 
 
 class CommandLineTests(FleetTestCase):
-    async def test_each_command_ends_with_its_status_and_says_why(self) -> None:
+    async def test_commands_exit_with_status_and_message(self) -> None:
         await self.fleet.start(("celje-a", "plots"))
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
@@ -89,7 +89,7 @@
             started = await asyncio.gather(*(self.start_command(line) for line, _, _ in step))
             for program, (line, status, part) in zip(started, step, strict=True):
                 with self.subTest(line):
-                    await self.check_end(program, status, part)
+                    await self.assert_exit(program, status, part)
 
     async def start_command(self, line: str) -> Program:
         node_url = self.fleet.nodes[0].operator_url
@@ -101,17 +101,17 @@
         name = f"command-{zlib.crc32(line.encode())}"
         return await self.fleet.start_program("bulrushflow", name, *words, variables=variables)
 
-    async def check_end(self, program: Program, status: int, part: str) -> None:
+    async def assert_exit(self, program: Program, status: int, part: str) -> None:
         ended, output = await program.output()
-        told = output + program.errors()
-        self.assertEqual(ended, status, told)
-        self.assertIn(part, told)
+        printed = output + program.errors()
+        self.assertEqual(ended, status, printed)
+        self.assertIn(part, printed)
         if status:
-            self.assertEqual(output, "", told)
+            self.assertEqual(output, "", printed)
 
 
 class NodeCommandTests(FleetTestCase):
-    async def test_settings_are_checked_without_a_start(self) -> None:
+    async def test_settings_are_validated_without_starting_the_node(self) -> None:
         cases: tuple[tuple[str, list[str], int, str], ...] = (
             (SETTINGS, ["--check-settings"], 0, "sound"),
             (SETTINGS, ["--check-settings", "--address", "here"], 2, "$.address: 'here' is not"),
--- a/tests/processes/test_graceful_stops.py
+++ b/tests/processes/test_graceful_stops.py
@@ -9,7 +9,7 @@
 """Longer than a node takes to end, so that calls are cut unless it waits for them."""
 RATE = 24.0
 """Calls a second: about six are in flight at each target, and two targets can take them all."""
-PLACES = 2 * (("celje-a", "plots"), ("celje-a", "payments"))
+PLACEMENTS = 2 * (("celje-a", "plots"), ("celje-a", "payments"))
 """One data centre, so that the nodes that leave get their part of the calls."""
 
 
@@ -17,9 +17,9 @@
     async def has_run(self, target_url: str) -> bool:
         return await self.fleet.get(target_url + "/control/runs") != b"[]"
 
-    async def test_nodes_that_are_stopped_under_load_cut_no_call(self) -> None:
+    async def test_stopping_nodes_under_load_interrupts_no_call(self) -> None:
         fleet = self.fleet
-        await fleet.start_serving(*PLACES)
+        await fleet.start_serving(*PLACEMENTS)
         for url in fleet.target_urls_by_name.values():
             await fleet.post(url + "/control/behaviour", {"work_ms": WORK_MS})
         staying, leaving = fleet.nodes[:2], fleet.nodes[2:]
@@ -31,6 +31,6 @@
             self.assertEqual(await node.program.terminate(), 0, node.program.errors())
             self.assertNotIn("still in flight", node.program.errors())
             del fleet.nodes_by_name[node.name]
-        summary = await self.assert_calls_whole(load)
+        summary = await self.assert_calls_intact(load)
         self.assertEqual(summary["unknown"], 0, summary)
         await fleet.wait_ready(2)
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -19,8 +19,8 @@
 """Only ends a test that would go on for ever."""
 
 
-class MoveTests(FleetTestCase):
-    async def test_a_bad_version_is_taken_back_without_the_log(self) -> None:
+class RolloutTests(FleetTestCase):
+    async def test_faulty_version_is_rolled_back_while_the_log_is_down(self) -> None:
         fleet = self.fleet
         await fleet.start_serving(("celje-a", "plots"), ("velenje", "plots"))
         await fleet.start_pair("new", "celje-a", "plots", "v2")
@@ -28,49 +28,52 @@
         finish_by_ms = time.time_ns() // 1_000_000 + FINISH_AFTER_MS
         start = StartRollout(1, "m", "ana", "plots", "v2", finish_by_ms)
         self.assertTrue((await fleet.publish(start)).accepted)
-        await self.call_until(self.shares_calls)
+        await self.call_until(self.has_traffic_share)
         await fleet.set_log_faults(down=True)
         faulty = {"error_share": 1.0}
         await fleet.post(fleet.target_urls_by_name["new"] + "/control/behaviour", faulty)
-        await self.call_until(self.taken_back)
-        during = await self.account()
-        self.assertIn("the log could not be read", during.notes[0])
-        self.assertTrue(any("move m taken back by" in told for told in during.unrecorded), during)
+        await self.call_until(self.is_rolled_back)
+        during_outage = await self.fetch_incident_account()
+        self.assertIn("the log could not be read", during_outage.notes[0])
+        self.assertTrue(
+            any("move m taken back by" in line for line in during_outage.unrecorded),
+            during_outage,
+        )
         await fleet.set_log_faults()
 
         async def recorded() -> bool:
-            moves = [await self.move(node.operator_url) for node in fleet.nodes]
-            return all(m.move.status is RolloutStatus.ROLLED_BACK for m in moves)
+            accounts = [await self.fetch_move_account(node.operator_url) for node in fleet.nodes]
+            return all(a.move.status is RolloutStatus.ROLLED_BACK for a in accounts)
 
         await until(recorded, "the take-back on the log and on every node")
-        account = await self.account()
-        self.assertEqual((account.notes, account.unrecorded), ([], []))
-        stated = next(e for e in account.events if e.publish_id == "m")
-        self.assertIn("taken back: ", stated.became)
-        final = next(e for e in account.events if e.kind == "finish_move")
-        self.assertTrue(final.by.startswith("node ") and final.evidence, final)
+        report = await self.fetch_incident_account()
+        self.assertEqual((report.notes, report.unrecorded), ([], []))
+        started = next(e for e in report.events if e.publish_id == "m")
+        self.assertIn("taken back: ", started.became)
+        finished = next(e for e in report.events if e.kind == "finish_move")
+        self.assertTrue(finished.by.startswith("node ") and finished.evidence, finished)
 
     async def call_until(self, condition: t.Callable[[], t.Awaitable[bool]]) -> None:
         """Send calls until a condition holds; each of them must be answered whole."""
         for number in range(MAX_LOADS):
             urls = [node.caller_url for node in self.fleet.nodes]
             load = await self.fleet.start_load(f"moves-{number}", urls, 3, ["/plots/7"])
-            await self.assert_calls_whole(load)
+            await self.assert_calls_intact(load)
             if await condition():
                 return
         self.fail(f"{condition.__name__} never came true")
 
-    async def shares_calls(self) -> bool:
-        return (await self.move(self.fleet.nodes[0].operator_url)).share_permille > 0
+    async def has_traffic_share(self) -> bool:
+        return (await self.fetch_move_account(self.fleet.nodes[0].operator_url)).share_permille > 0
 
-    async def taken_back(self) -> bool:
-        return (await self.move(self.fleet.nodes[0].operator_url)).taken_back
+    async def is_rolled_back(self) -> bool:
+        return (await self.fetch_move_account(self.fleet.nodes[0].operator_url)).taken_back
 
-    async def move(self, operator_url: str) -> MoveAccount:
+    async def fetch_move_account(self, operator_url: str) -> MoveAccount:
         body = await self.fleet.get(operator_url + "/moves/m")
         return msgspec.json.decode(body, type=MoveAccount)
 
-    async def account(self) -> IncidentAccount:
+    async def fetch_incident_account(self) -> IncidentAccount:
         urls = ",".join(node.operator_url for node in self.fleet.nodes)
         async with OperatorClient(self.fleet.log_url, urls, 0.0) as client:
             return (await account_since(client, 0, 1)).unwrap()
--- a/tests/processes/test_paused_nodes.py
+++ b/tests/processes/test_paused_nodes.py
@@ -2,7 +2,7 @@
 
 from bulrushflow.configuration import Configure
 from bulrushflow.configuration import RouteBody
-from tests.processes.fleet import PLACES
+from tests.processes.fleet import PLACEMENTS
 from tests.processes.fleet import FleetNode
 from tests.processes.fleet import FleetTestCase
 from tests.processes.fleet import extra_route
@@ -14,7 +14,7 @@
 
 
 class PausedNodesTests(FleetTestCase):
-    async def wait_taken_for_dead(self, paused: list[FleetNode]) -> None:
+    async def wait_declared_dead(self, paused: list[FleetNode]) -> None:
         """Wait until no running node counts a paused one as a member."""
         names = {node.name for node in paused}
 
@@ -29,12 +29,12 @@
 
         await until(dead, f"{sorted(names)} taken for dead")
 
-    async def test_a_resumed_node_serves_no_call_by_the_older_version(self) -> None:
+    async def test_resumed_node_serves_no_call_with_an_outdated_configuration(self) -> None:
         fleet = self.fleet
-        await fleet.start_serving(*PLACES)
+        await fleet.start_serving(*PLACEMENTS)
         paused = fleet.nodes[-1]
         paused.pause()
-        await self.wait_taken_for_dead([paused])
+        await self.wait_declared_dead([paused])
         verdict = await fleet.publish(REROUTED)
         paused.resume()
         offsets: list[int] = []
@@ -50,24 +50,24 @@
             self.assertNotIn(b"body_digest", await fleet.get(paused.caller_url + "/plots/1"))
             offsets.append((await fleet.status(paused)).offset)
         self.assertEqual(offsets, sorted(offsets))
-        await fleet.wait_ready(len(PLACES))
+        await fleet.wait_ready(len(PLACEMENTS))
         self.assertIn(b"body_digest", await fleet.get(paused.caller_url + "/gardens/1"))
         self.assertIn(b"no route", await fleet.get(paused.caller_url + "/plots/1"))
         await fleet.wait_converged(verdict.offset)
 
-    async def test_a_data_centre_is_cut_off_and_comes_back_twice(self) -> None:
+    async def test_fleet_converges_after_a_data_centre_is_paused_and_resumed_twice(self) -> None:
         fleet = self.fleet
-        await fleet.start_serving(*PLACES)
-        staying, cut_off = fleet.nodes[:2], fleet.nodes[2:]
+        await fleet.start_serving(*PLACEMENTS)
+        staying, isolated = fleet.nodes[:2], fleet.nodes[2:]
         load = await fleet.start_load("cut-off", [n.caller_url for n in staying], 8)
         for round_number in (1, 2):
-            for node in cut_off:
+            for node in isolated:
                 node.pause()
-            await self.wait_taken_for_dead(cut_off)
+            await self.wait_declared_dead(isolated)
             extra = extra_route(f"meanwhile-{round_number}")
             verdict = await fleet.publish(extra)
-            for node in cut_off:
+            for node in isolated:
                 node.resume()
-            await fleet.wait_ready(len(PLACES))
+            await fleet.wait_ready(len(PLACEMENTS))
             await fleet.wait_converged(verdict.offset)
-        await self.assert_calls_whole(load)
+        await self.assert_calls_intact(load)
--- a/tests/processes/test_racing_operators.py
+++ b/tests/processes/test_racing_operators.py
@@ -16,7 +16,7 @@
 
 
 class RacingOperatorsTests(FleetTestCase):
-    async def assert_one_wins(self, reason: str, *records: Record) -> None:
+    async def assert_one_accepted(self, reason: str, *records: Record) -> None:
         """Publish through different nodes at once; all but one are rejected for the reason."""
         fleet = self.fleet
         nodes = fleet.nodes
@@ -24,15 +24,15 @@
             *(fleet.publish(r, via=nodes[i % len(nodes)]) for i, r in enumerate(records))
         )
         await fleet.wait_converged(max(v.offset for v in verdicts))
-        lost = [v for v in verdicts if not v.accepted]
-        self.assertEqual(len(lost), len(records) - 1, verdicts)
-        for verdict in lost:
+        rejected = [v for v in verdicts if not v.accepted]
+        self.assertEqual(len(rejected), len(records) - 1, verdicts)
+        for verdict in rejected:
             self.assertIn(reason, verdict.reason)
         for verdict in verdicts:
             everywhere = await fleet.verdicts(verdict.publish_id)
             self.assertEqual(everywhere, [verdict] * len(nodes))
 
-    async def test_the_loser_is_told_why_and_all_nodes_agree(self) -> None:
+    async def test_one_of_the_conflicting_records_is_accepted_and_all_nodes_agree(self) -> None:
         fleet = self.fleet
         await fleet.start(("celje-a", "plots"), ("celje-b", "plots"), ("velenje", "payments"))
         first = await fleet.publish(PLOTS_AND_PAYMENTS)
@@ -48,15 +48,17 @@
             for who in ("ana", "bor")
         ]
         with self.subTest("two publishes on one base"):
-            await self.assert_one_wins("changed", *publishes)
+            await self.assert_one_accepted("changed", *publishes)
         with self.subTest("two moves of one service"):
-            await self.assert_one_wins("has the active move", *moves)
-        won = moves[0]
-        if not (await fleet.verdicts(won.publish_id))[0].accepted:
-            won = moves[1]
+            await self.assert_one_accepted("has the active move", *moves)
+        accepted_move = moves[0]
+        if not (await fleet.verdicts(accepted_move.publish_id))[0].accepted:
+            accepted_move = moves[1]
         with self.subTest("a withdrawal and the final record"):
-            await self.assert_one_wins(
+            await self.assert_one_accepted(
                 "already",
-                WithdrawRollout(1, "withdrawal", "ana", won.publish_id),
-                FinishRollout(1, "final", won.publish_id, True, "faulty", "test", "velenje-2"),
+                WithdrawRollout(1, "withdrawal", "ana", accepted_move.publish_id),
+                FinishRollout(
+                    1, "final", accepted_move.publish_id, True, "faulty", "test", "velenje-2"
+                ),
             )
--- a/tests/processes/test_silent_connections.py
+++ b/tests/processes/test_silent_connections.py
@@ -43,7 +43,7 @@
         await fleet.start_target(f"relayed-{service}", service, "v1", announce_port)
         return relay
 
-    async def test_silent_connections_to_a_target_and_from_a_caller_give_way_to_new_ones(
+    async def test_silent_target_and_caller_connections_are_replaced(
         self,
     ) -> None:
         fleet = self.fleet
@@ -59,7 +59,7 @@
 
         await until(used, "a call through the relay")
         relay.silence()
-        await self.assert_calls_whole(load)
+        await self.assert_calls_intact(load)
         opened = relay.opened
         url = fleet.nodes_by_name["relayed-plots"].caller_url + "/plots/1"
 
@@ -70,9 +70,9 @@
         await until(answered, "an answer through the relayed node")
         self.assertGreaterEqual(opened, 2)
         with self.subTest("a caller's connection"):
-            await self.check_caller(fleet.nodes[0])
+            await self.check_caller_connection(fleet.nodes[0])
 
-    async def check_caller(self, node: FleetNode) -> None:
+    async def check_caller_connection(self, node: FleetNode) -> None:
         fleet = self.fleet
         relay = Relay(node.caller_port)
         await relay.start()
