--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; each module is run as ``python -m benchmarks.NAME``."""
+"""Benchmarks; the commands among the modules run as ``python -m benchmarks.NAME``."""
--- a/benchmarks/convergence.py
+++ b/benchmarks/convergence.py
@@ -1,9 +1,9 @@
-"""Measures how soon a change is in force on every node, and what that asks of the log.
+"""Measures the time until a change is in force on every node, and the load on the log.
 
-Nodes run as processes on one machine, without targets; times come from their own logs. Targets:
-with the log up, one change and a burst of 50 in force on all nodes within 1 s; just after an outage
-within 8 s; reads of the log that do not grow with the number of nodes. The baseline is every node
-polling the log once a second.
+Nodes run as processes on one machine, without targets; times are taken from the nodes' logs. Goals:
+a single change and a burst of 50 are in force on all nodes within 1 s while the log is up, and
+within 8 s just after an outage; reads of the log do not grow with the number of nodes. The baseline
+is every node polling the log once a second.
 """
 
 import asyncio
@@ -47,7 +47,7 @@
 
 
 class NodeFleet:
-    """The log, the publisher's connection to it, and the nodes."""
+    """The log stand-in, a client that publishes to it, and the node processes."""
 
     def __init__(self, directory: pathlib.Path) -> None:
         self.directory = directory
@@ -55,14 +55,14 @@
         self._numbers = itertools.count()
 
     async def start(self, count: int) -> None:
-        """Start the log and then all nodes at once."""
+        """Start the log, then all nodes without waiting for each to become ready."""
         self.log_program, self.log_url = await processes.start_log(self.directory)
         self.log = HttpLog(self.log_url, REQUEST_TIMEOUT_S)
         self.session = aiohttp.ClientSession()
         await self._start_nodes(range(count))
 
     async def replace_half(self) -> None:
-        """Kill half of the nodes in each data centre, and start as many new ones at once."""
+        """Kill half of the nodes, spread over the data centres, and start as many new ones."""
         half = len(self.nodes) // 2
         killed, self.nodes = self.nodes[:half], self.nodes[half:]
         count = len(killed) + len(self.nodes)
@@ -80,14 +80,17 @@
             )
 
     async def stop(self) -> None:
-        """Stop the nodes together, then the log."""
+        """Stop all nodes concurrently, then the log."""
         await asyncio.gather(*(node.stop() for node in self.nodes))
         await self.session.close()
         await self.log.close()
         await self.log_program.stop()
 
     async def wait_ready(self) -> None:
-        """Wait until every node says that it takes calls."""
+        """Wait until every node reports that it is ready for calls.
+
+        :raises TimeoutError: when a node is not ready within ``READY_TIMEOUT_S``.
+        """
         async with asyncio.timeout(READY_TIMEOUT_S):
             for node in self.nodes:
                 url = await processes.operator_url(node)
@@ -95,7 +98,7 @@
                     await asyncio.sleep(processes.POLL_S)
 
     async def publish(self) -> tuple[int, float]:
-        """Append one change; return its offset and when it was sent, in epoch seconds."""
+        """Append one change and return its offset and the time of sending, in epoch seconds."""
         number = next(self._numbers)
         service = ServiceBody(f"v{number}")
         record = Configure(1, f"change-{number}", "benchmark", services={"queue-desk": service})
@@ -104,22 +107,22 @@
         return offset, sent_at
 
     async def log_counts(self) -> dict[str, int]:
-        """Return how many reads and appends the log served."""
+        """Return the numbers of reads and appends that the log has served."""
         async with self.session.get(self.log_url + "/counts") as response:
             counts: dict[str, int] = await response.json()
             return counts
 
     async def set_log_down(self, down: bool) -> None:
-        """Begin or end an outage of the log."""
+        """Start or end an outage of the log."""
         async with self.session.post(self.log_url + "/faults", json={"down": down}) as response:
             response.raise_for_status()
 
     def processor_s(self) -> float:
-        """Return the processor time that all nodes used, in seconds."""
+        """Return the total processor time of the running nodes, in seconds."""
         return sum(node.processor_s() for node in self.nodes)
 
     async def control_bytes(self) -> float:
-        """Return the control bytes that all nodes sent so far, datagrams and records."""
+        """Return the control bytes, datagrams and records, that all nodes have sent so far."""
         total = 0.0
         for node in self.nodes:
             url = await processes.operator_url(node)
@@ -137,7 +140,7 @@
 
 
 async def measure_change(fleet: NodeFleet, count: int = 1) -> Figures:
-    """Publish some changes and return how long each node took from the last one on."""
+    """Publish changes and return statistics of the delay until the last is in force on a node."""
     for _ in range(count):
         offset, sent_at = await fleet.publish()
     times = await processes.wait_in_force(fleet.nodes, offset, CHANGE_TIMEOUT_S)
@@ -151,7 +154,7 @@
 
 
 async def measure_nodes(count: int) -> Figures:
-    """Return the figures with nodes that spread what their readers read."""
+    """Return the figures of nodes that disseminate records among themselves."""
     with tempfile.TemporaryDirectory() as directory:
         fleet = NodeFleet(pathlib.Path(directory))
         started_at = time.monotonic()
@@ -208,7 +211,7 @@
 
 
 async def measure_polling(count: int, rng: random.Random) -> Figures:
-    """Return the figures with every node polling the log once a second."""
+    """Return the figures of the baseline: every node polls the log once a second."""
     with tempfile.TemporaryDirectory() as directory:
         fleet = NodeFleet(pathlib.Path(directory))
         await fleet.start(0)
--- a/benchmarks/fold.py
+++ b/benchmarks/fold.py
@@ -1,7 +1,7 @@
-"""Measures the fold and snapshots at a configuration of the size designed for.
+"""Measures the fold and snapshots with a configuration of the largest intended size.
 
-Targets: less than 100 µs a record in pages of 500, less than 50 ms to write or open a snapshot, and
-a snapshot below 1 MB.
+Goals: less than 100 µs per record in pages of 500, less than 50 ms to make or open a snapshot, and
+a snapshot record below 1 MB.
 """
 
 import gc
@@ -47,7 +47,7 @@
 
 
 def build(rng: random.Random) -> tuple[list[LogRecord], Configuration]:
-    """Return a log that fills every bound of the state, and the state."""
+    """Return a log whose state reaches its size limits, and that state."""
     records: list[Record] = []
     for i in range(SERVICES):
         paths = [f"/service-{i}/{j}" for j in range(ROUTES_PER_SERVICE)]
@@ -81,7 +81,7 @@
 
 
 def fold_pages(log: list[LogRecord], page: int) -> Configuration:
-    """Fold a log in pages."""
+    """Fold a log in pages of ``page`` records and return the final state."""
     state = EMPTY_CONFIGURATION
     for start in range(0, len(log), page):
         state = fold_records(state, log[start : start + page]).configuration
@@ -89,7 +89,7 @@
 
 
 def best_s(function: t.Callable[[], object]) -> float:
-    """Return the shortest of several runs, in seconds."""
+    """Return the shortest duration of ``REPEATS`` calls, in seconds."""
     times = []
     for _ in range(REPEATS):
         started_at = time.perf_counter()
@@ -99,7 +99,7 @@
 
 
 def retained_bytes(make: t.Callable[[], object]) -> int:
-    """Return the memory of what ``build_up`` returns."""
+    """Return the memory in bytes that the result of ``make`` keeps allocated."""
     tracemalloc.start()
     value = make()
     gc.collect()
@@ -110,7 +110,7 @@
 
 
 def make_filled_store(log: list[LogRecord]) -> ConfigurationStore:
-    """Return a node's store after a whole log, with the records that it holds for peers."""
+    """Return a node's store after a whole log, with the records it keeps for its peers."""
     store = ConfigurationStore()
     for start in range(0, len(log), PAGE_RECORDS):
         copies = (LogRecord(r.offset, r.appended_at_ms, bytes(bytearray(r.body))) for r in log)
@@ -119,7 +119,7 @@
 
 
 def measure(seed: int) -> Figures:
-    """Return the figures."""
+    """Return sizes, durations and memory by the names of the report."""
     log, state = build(random.Random(seed))
     snapshot = make_snapshot(state)
     record = encode_record(snapshot)
--- a/benchmarks/mechanisms.py
+++ b/benchmarks/mechanisms.py
@@ -1,7 +1,7 @@
-"""Shows that tests guard the mechanisms: each is switched off in a copy, and its tests must fail.
+"""Checks that tests detect a disabled mechanism, in a mutated copy of the source tree.
 
-``python -m benchmarks.mechanisms`` runs the tests of every mechanism twice, as it stands and
-switched off. Tests that pass either way guard nothing.
+``python -m benchmarks.mechanisms`` runs the tests of each mechanism twice: with the mechanism
+enabled, when they must pass, and with it disabled, when at least one must fail.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """A piece of code in a file below ``src/bulrushflow``, and what to put in its place."""
+    """Replaces ``code`` by ``off`` in a file, whose path is relative to ``src/bulrushflow``."""
 
     file: str
     code: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """What switches a mechanism off, and the tests that must then fail."""
+    """The edits that disable a mechanism, and the test modules that must then fail."""
 
     name: str
     edits: tuple[Edit, ...]
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """What the tests of one mechanism showed."""
+    """Whether the tests of one mechanism pass with it enabled and fail with it disabled."""
 
     name: str
     tests: tuple[str, ...]
@@ -52,7 +52,7 @@
 
 MECHANISMS = (
     Mechanism(
-        "an older snapshot is passed over",
+        "an older snapshot is ignored",
         (Edit("configuration/store.py", "if snapshot.offset <= self.current.offset or ", "if "),),
         ("tests.configuration.test_store",),
     ),
@@ -79,7 +79,7 @@
         ),
     ),
     Mechanism(
-        "a publish id counts once",
+        "a repeated publish id is not applied again",
         (
             Edit(
                 "configuration/fold.py",
@@ -121,7 +121,7 @@
         ("tests.nodes.test_dissemination",),
     ),
     Mechanism(
-        "a pause begins the check for the newest version again",
+        "a pause restarts the check for the newest version",
         (Edit("configuration/freshness.py", "PAUSE_THRESHOLD_S = 2.0", "PAUSE_THRESHOLD_S = 1e9"),),
         (
             "tests.configuration.test_freshness",
@@ -129,7 +129,7 @@
         ),
     ),
     Mechanism(
-        "a faulty version is taken back",
+        "a faulty version is rolled back",
         (
             Edit(
                 "nodes/rollout_driver.py",
@@ -140,7 +140,7 @@
         ("tests.nodes.test_rollout_driver",),
     ),
     Mechanism(
-        "a take-back wins each join",
+        "a rollback prevails in every merge",
         (
             Edit(
                 "rollouts/shared.py",
@@ -151,7 +151,7 @@
         ("tests.rollouts.test_shared",),
     ),
     Mechanism(
-        "the gatekeeper refuses a version that was taken back",
+        "admission control refuses a version that was rolled back",
         (
             Edit(
                 "targets/admission_controller.py",
@@ -162,7 +162,7 @@
         ("tests.targets.test_admission_controller",),
     ),
     Mechanism(
-        "a decision that is out of date is kept from the log",
+        "an outdated decision is not appended to the log",
         (
             Edit(
                 "nodes/rollout_driver.py",
@@ -179,7 +179,7 @@
         ("tests.nodes.test_rollout_driver",),
     ),
     Mechanism(
-        "an answer goes to its own exchange only",
+        "a response resolves only its own exchange",
         (
             Edit(
                 "wire/link.py",
@@ -201,7 +201,7 @@
         ("tests.targets.test_client",),
     ),
     Mechanism(
-        "an uncertain attempt leaves the call uncertain",
+        "an attempt with unknown outcome leaves the outcome of the call unknown",
         (
             Edit(
                 "callers/dispatcher.py", "return earlier if uncertain else latest", "return latest"
@@ -210,12 +210,12 @@
         ("tests.callers.test_dispatcher",),
     ),
     Mechanism(
-        "what may have run is sent again only when idempotent",
+        "a call that may have run is retried only if it is idempotent",
         (Edit("routing/retries.py", " and call.idempotent and call.attempt == 0", ""),),
         ("tests.callers.test_dispatcher",),
     ),
     Mechanism(
-        "a target that leaves gets no new calls",
+        "a draining target gets no new calls",
         (
             Edit(
                 "targets/admission_controller.py",
@@ -226,7 +226,7 @@
         ("tests.targets.test_admission_controller",),
     ),
     Mechanism(
-        "a stopping node waits for its callers",
+        "a stopping node drains its calls and leaves the fleet",
         (
             Edit("application.py", "await self.caller_server.drain(drain_s),", "True,"),
             Edit("application.py", "await self.admission_controller.drain(drain_s),", "True,"),
@@ -237,12 +237,12 @@
         ("tests.processes.test_graceful_stops",),
     ),
     Mechanism(
-        "a silent connection is given up",
+        "a silent connection is closed",
         (Edit("wire/link.py", "if now - self._ping_sent_at >= PONG_TIMEOUT_S:", "if False:"),),
         ("tests.wire.test_link",),
     ),
     Mechanism(
-        "a node refutes that it is dead",
+        "a node refutes reports of its death",
         (
             Edit(
                 "membership/table.py",
@@ -253,7 +253,7 @@
         ("tests.membership.test_table",),
     ),
     Mechanism(
-        "forgotten members are not brought back",
+        "removed members are not restored by old updates",
         (
             Edit(
                 "membership/table.py",
@@ -264,7 +264,7 @@
         ("tests.membership.test_table",),
     ),
     Mechanism(
-        "rounds that span an own pause count for nothing",
+        "probe rounds interrupted by a pause of the node are ignored",
         (Edit("nodes/detector.py", "if self._timers.paused_since(began):", "if False:"),),
         ("tests.nodes.test_detector",),
     ),
@@ -272,7 +272,10 @@
 
 
 async def run_tests(tree: pathlib.Path, tests: t.Sequence[str]) -> bool:
-    """Run tests in a tree; return whether all passed."""
+    """Run test modules in a tree.
+
+    Returns whether all tests passed within ``RUN_TIMEOUT_S``.
+    """
     environment = {**os.environ, "PYTHONPATH": f"{tree / 'src'}:{tree}"}
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -293,19 +296,21 @@
 
 
 def switch_off(tree: pathlib.Path, edit: Edit) -> None:
-    """Edit a tree.
+    """Apply an edit to a copy of the source tree.
 
-    :raises ValueError: when the code is not in its file exactly once.
+    :raises ValueError: when the file does not contain the code exactly once.
     """
     path = tree / "src" / "bulrushflow" / edit.file
     text = path.read_text(encoding="utf-8")
     if text.count(edit.code) != 1:
-        raise ValueError(f"{edit.file} has not exactly one {edit.code!r}")
+        raise ValueError(
+            f"{edit.file}: expected one occurrence of {edit.code!r}, found {text.count(edit.code)}"
+        )
     path.write_text(text.replace(edit.code, edit.off), encoding="utf-8")
 
 
 async def check(mechanism: Mechanism) -> Finding:
-    """Run a mechanism's tests as it stands and switched off."""
+    """Run the tests of a mechanism with it enabled and then disabled, in a temporary copy."""
     with tempfile.TemporaryDirectory() as directory:
         tree = pathlib.Path(directory)
         for name in COPIED:
@@ -318,7 +323,7 @@
 
 
 async def check_all(mechanisms: t.Sequence[Mechanism], at_once: int) -> list[Finding]:
-    """Check several mechanisms, a few at a time."""
+    """Check mechanisms, ``at_once`` of them concurrently."""
     semaphore = asyncio.Semaphore(at_once)
 
     async def check_one(mechanism: Mechanism) -> Finding:
@@ -331,11 +336,15 @@
 @cappa.command(name="mechanisms")
 @dataclass
 class MechanismsCommand:
-    """Switch each mechanism off in a copy of the tree; exit 1 unless its tests then fail."""
-
-    at_once: t.Annotated[int, cappa.Arg(long=True, help="mechanisms checked at once")] = 4
-    only: t.Annotated[str, cappa.Arg(long=True, help="only names that contain this")] = ""
-    json: t.Annotated[pathlib.Path | None, cappa.Arg(long=True, help="write findings here")] = None
+    """Disable each mechanism in a copy of the tree; exit 1 unless its tests then fail."""
+
+    at_once: t.Annotated[int, cappa.Arg(long=True, help="mechanisms checked concurrently")] = 4
+    only: t.Annotated[
+        str, cappa.Arg(long=True, help="check only mechanisms whose name contains this")
+    ] = ""
+    json: t.Annotated[
+        pathlib.Path | None, cappa.Arg(long=True, help="write findings to this file")
+    ] = None
 
     def __call__(self) -> None:
         chosen = [m for m in MECHANISMS if self.only in m.name]
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,4 +1,4 @@
-"""Starts the programs for a measurement, and reads what they say on standard error."""
+"""Starts the programs for a benchmark and reads their logs from standard error."""
 
 import asyncio
 import datetime
@@ -22,15 +22,15 @@
 
 @dataclass(slots=True)
 class Program:
-    """A running program and the file that takes its standard error."""
+    """A running program and the file with its standard error."""
 
     process: asyncio.subprocess.Process
     output: pathlib.Path
 
     async def wait_for_output(self, pattern: re.Pattern[str]) -> re.Match[str]:
-        """Return the first match in the output.
+        """Wait for the first match in the output and return it.
 
-        :raises TimeoutError: when there is none in time.
+        :raises TimeoutError: when nothing matches within ``START_TIMEOUT_S``.
         """
         async with asyncio.timeout(START_TIMEOUT_S):
             while True:
@@ -40,7 +40,7 @@
                 await asyncio.sleep(POLL_S)
 
     async def stop(self) -> None:
-        """Ask the program to stop, and end it when it does not."""
+        """Terminate the program, and kill it if it is still running after ``STOP_TIMEOUT_S``."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
         try:
@@ -49,12 +49,12 @@
             self.process.kill()
 
     def resident_bytes(self) -> int:
-        """Return the resident memory."""
+        """Return the resident memory in bytes."""
         fields = pathlib.Path(f"/proc/{self.process.pid}/statm").read_text().split()
         return int(fields[1]) * os.sysconf("SC_PAGE_SIZE")
 
     def processor_s(self) -> float:
-        """Return the processor time used so far, in seconds."""
+        """Return the user and system time used so far, in seconds."""
         fields = (
             pathlib.Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
         )
@@ -62,7 +62,7 @@
 
 
 async def start(program: str, output: pathlib.Path, *arguments: str) -> Program:
-    """Start one of this package's programs."""
+    """Start one of the installed programs of this package."""
     path = pathlib.Path(sys.executable).with_name(program)
     with output.open("wb") as file:
         process = await asyncio.create_subprocess_exec(str(path), *arguments, stderr=file)
@@ -70,7 +70,7 @@
 
 
 async def start_log(directory: pathlib.Path) -> tuple[Program, str]:
-    """Start the log's stand-in; return it and its URL."""
+    """Start the log stand-in and return it with its URL."""
     program = await start("bulrushflow-standin-log", directory / "log.err")
     match = await program.wait_for_output(re.compile(r"listens on 127\.0\.0\.1:(\d+)"))
     return program, f"http://127.0.0.1:{match[1]}"
@@ -79,7 +79,7 @@
 async def start_node(
     directory: pathlib.Path, node_id: str, data_centre: str, log_url: str
 ) -> Program:
-    """Start a node whose ports the system picks."""
+    """Start a node on ports assigned by the system."""
     settings = {
         "node_id": node_id,
         "data_centre": data_centre,
@@ -97,13 +97,16 @@
 
 
 async def operator_url(node: Program) -> str:
-    """Return the URL of a node's operator endpoint once it listens."""
+    """Wait until a node listens and return the URL of its operator endpoint."""
     match = await node.wait_for_output(_PORTS)
     return f"http://127.0.0.1:{match[4]}"
 
 
 def in_force_at(node: Program, offset: int) -> float | None:
-    """Return when a node had a version in force, in epoch seconds; ``None`` while it has not."""
+    """Return when a version or a later one came into force on a node, in epoch seconds.
+
+    Returns ``None`` while the node has an older version.
+    """
     for line in node.output.read_text().splitlines():
         match = _VERSION.search(line)
         if match and int(match[1]) >= offset:
@@ -114,7 +117,10 @@
 async def wait_in_force(
     nodes: t.Sequence[Program], offset: int, timeout_s: float
 ) -> list[float | None]:
-    """Return when each node had a version in force, ``None`` for those that did not in time."""
+    """Wait until a version or a later one is in force on all nodes, for ``timeout_s`` at most.
+
+    Returns the time for each node in epoch seconds, ``None`` for those that did not reach it.
+    """
     deadline = time.monotonic() + timeout_s
     times: list[float | None] = [None] * len(nodes)
     while True:
