--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,4 +1,4 @@
-"""Measures membership: ``costs`` of its parts at full size, or a ``fleet`` of processes."""
+"""Measures membership: ``costs`` of its operations at full size, or a ``fleet`` of processes."""
 
 import asyncio
 import json
@@ -23,13 +23,13 @@
 LOSS_S = 25.0
 SETTLE_S = 3.0
 DISSEMINATION_S = 8.0
-"""Time after the start in which the news of the start is passed on."""
+"""Pause after the start, so that updates from the start do not count as idle traffic."""
 
 
 @cappa.command(name="costs")
 @dataclass
 class Costs:
-    """Processor time and memory of the parts."""
+    """Measure processor time and memory of membership operations."""
 
     members: t.Annotated[int, cappa.Arg(long=True)] = 4800
     services: t.Annotated[int, cappa.Arg(long=True)] = 500
@@ -45,9 +45,9 @@
 @cappa.command(name="fleet")
 @dataclass
 class FleetCommand:
-    """Participants as processes: idle, join, drain, kill, pause, churn and half restarted.
+    """Run participants as processes: idle, join, drain, kill, pause, churn and half restarted.
 
-    :param loss: share of datagrams lost; with it only suspicions are counted.
+    :param loss: share of datagrams dropped; when not 0, only false suspicions are counted.
     """
 
     nodes: t.Annotated[int, cappa.Arg(long=True)] = 10
@@ -198,7 +198,7 @@
 def report(
     path: pathlib.Path | None, settings: dict[str, t.Any], results: dict[str, t.Any]
 ) -> None:
-    """Print a table, and write JSON where asked."""
+    """Print the results as a table, and write them as JSON when a path is given."""
     print(", ".join(f"{k} {v}" for k, v in settings.items()), f"({NOTE})")
     for name, value in results.items():
         if isinstance(value, dict):
--- a/benchmarks/membership_costs.py
+++ b/benchmarks/membership_costs.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of membership's parts at the size of a whole fleet."""
+"""Measures processor time and memory of membership operations in a table of a whole fleet."""
 
 import random
 import time
@@ -23,7 +23,7 @@
 
 
 def make_members(count: int, services: int) -> list[Member]:
-    """Return members spread over services and data centres."""
+    """Return live members, spread evenly over services and data centres."""
     return [
         Member(
             f"data-centre-{i % DATA_CENTRES}-{i:05}",
@@ -39,7 +39,7 @@
 
 
 def make_table(members: list[Member]) -> MemberTable:
-    """Return the table of the first member."""
+    """Return the first member's table with all members in it."""
     table = MemberTable(members[0])
     for member in members[1:]:
         table.merge(member, 0.0)
@@ -47,7 +47,7 @@
 
 
 def measure(function: t.Callable[[int], object], repeats: int = REPEATS) -> float:
-    """Return the microseconds of one call, the least of five rounds."""
+    """Return the microseconds per call, the minimum of five rounds of ``repeats`` calls."""
     rounds = []
     for _ in range(5):
         started_at = time.perf_counter()
@@ -58,7 +58,11 @@
 
 
 def run(count: int, services: int, seed: int) -> dict[str, float]:
-    """Measure each part; microseconds a call, and the table's memory in MB."""
+    """Measure each operation.
+
+    Returns microseconds per call, the memory of the table in MB and sizes of messages in bytes, by
+    the names of the report.
+    """
     rng = random.Random(seed)
     members = make_members(count, services)
     tracemalloc.start()
--- a/benchmarks/membership_fleet.py
+++ b/benchmarks/membership_fleet.py
@@ -1,4 +1,4 @@
-"""Participants as processes: what membership costs and how quickly news reaches all."""
+"""Runs participants as processes and measures their traffic and the delays of updates."""
 
 import asyncio
 import json
@@ -20,10 +20,11 @@
 ROOT = pathlib.Path(__file__).parent.parent
 
 RecordedState = tuple[str, str]
+"""Status and target state that a participant has recorded for a member."""
 
 
 class ParticipantProcess:
-    """One participant and what it printed."""
+    """One participant process and the events that it printed."""
 
     def __init__(self, node_id: str, process: asyncio.subprocess.Process) -> None:
         self.node_id = node_id
@@ -38,23 +39,29 @@
         self.reader = asyncio.create_task(self._read())
 
     async def wait_ready(self) -> None:
-        """Wait until its sockets are open."""
+        """Wait until the participant's sockets are open.
+
+        :raises TimeoutError: when they are not within ``READY_TIMEOUT_S``.
+        """
         await asyncio.wait_for(self._ready.wait(), READY_TIMEOUT_S)
 
     async def fetch_report(self) -> dict[str, t.Any]:
-        """Return its counts."""
+        """Return the participant's current counts.
+
+        :raises TimeoutError: when none arrive within ``REPORT_TIMEOUT_S``.
+        """
         self._reported.clear()
         self.send_command("report")
         await asyncio.wait_for(self._reported.wait(), REPORT_TIMEOUT_S)
         return self.report
 
     def send_command(self, command: str) -> None:
-        """Send a command."""
+        """Write a command to the participant's standard input."""
         assert self.process.stdin is not None
         self.process.stdin.write(f"{command}\n".encode())
 
     def send_signal(self, number: int) -> None:
-        """Signal this very process."""
+        """Send a signal to the process."""
         os.kill(self.process.pid, number)
 
     async def _read(self) -> None:
@@ -77,7 +84,7 @@
 
 
 class Fleet:
-    """The log's stand-in and all participants."""
+    """The log stand-in and all participants."""
 
     def __init__(self, loss: float) -> None:
         self.loss = loss
@@ -89,7 +96,10 @@
         self.log_url = f"http://127.0.0.1:{self.log_port}"
 
     async def start_log(self) -> None:
-        """Start the log's stand-in."""
+        """Start the log stand-in and wait until it responds.
+
+        :raises RuntimeError: when it does not.
+        """
         code = "from bulrushflow.standins.log import main; main()"
         self.log = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -106,10 +116,10 @@
                         return
                 except aiohttp.ClientError:
                     await asyncio.sleep(0.1)
-        raise RuntimeError("the log's stand-in does not answer")
+        raise RuntimeError(f"the log stand-in did not respond at {self.log_url} after 200 attempts")
 
     async def log_counts(self) -> dict[str, int]:
-        """Return the reads and appends that the log served."""
+        """Return the numbers of reads and appends that the log has served."""
         url = self.log_url + "/counts"
         async with aiohttp.ClientSession() as session, session.get(url) as response:
             counts: dict[str, int] = await response.json()
@@ -140,7 +150,7 @@
         return added
 
     async def remove(self, process: ParticipantProcess, command: str | int) -> None:
-        """Have a participant leave, or end it with a signal."""
+        """Stop a participant by a command or a signal and wait for its exit."""
         del self.by_id[process.node_id]
         if isinstance(command, int):
             process.send_signal(command)
@@ -150,7 +160,7 @@
         await process.reader
 
     async def stop(self) -> None:
-        """End all processes that this object started."""
+        """Kill the participants and stop the log stand-in."""
         for process in self.by_id.values():
             process.send_signal(signal.SIGKILL)
         await asyncio.gather(*(p.process.wait() for p in self.by_id.values()))
@@ -158,7 +168,7 @@
         await self.log.wait()
 
     async def wait_for(self, condition: t.Callable[[], bool]) -> bool:
-        """Wait until a condition holds; ``False`` when it did not in time."""
+        """Wait until a condition holds; return whether it did within ``WAIT_TIMEOUT_S``."""
         end = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < end:
             if condition():
@@ -167,7 +177,10 @@
         return False
 
     async def wait_complete(self) -> float | None:
-        """Wait until each participant holds exactly the others alive; return when, if it did."""
+        """Wait until each participant records exactly the others as alive.
+
+        Returns the monotonic time of the last state change, ``None`` on a timeout.
+        """
         ids = set(self.by_id)
 
         def complete() -> bool:
@@ -183,7 +196,12 @@
     async def wait_recorded(
         self, node_id: str, states: t.Collection[str], since: float, index: int = 0
     ) -> list[float]:
-        """Wait until all others hold one of some beliefs of a node; return the delays in s."""
+        """Wait until all other participants record one of the given states for a node.
+
+        :param since: monotonic time from which the delays count.
+        :param index: 0 to compare the member's status, 1 to compare its target's state.
+        :return: the delays in seconds of those that recorded it within ``WAIT_TIMEOUT_S``.
+        """
         others = [p for p in self.by_id.values() if p.node_id != node_id]
 
         def recorded(process: ParticipantProcess) -> bool:
@@ -200,7 +218,10 @@
         ]
 
     async def traffic(self, seconds: float) -> dict[str, t.Any]:
-        """Return bytes per second and processor time of those that live through a time."""
+        """Return bytes per second and processor use of the participants over a period.
+
+        Only participants that reported at its start and at its end are counted.
+        """
         before = await self._reports()
         await asyncio.sleep(seconds)
         after = await self._reports()
@@ -228,7 +249,7 @@
         }
 
     async def _reports(self) -> dict[str, dict[str, t.Any]]:
-        """Return the counts of all that live on until they have answered."""
+        """Return the counts by id of all participants that responded."""
         participants = list(self.by_id.values())
         reports = await asyncio.gather(
             *(p.fetch_report() for p in participants), return_exceptions=True
@@ -237,7 +258,7 @@
         return {p.node_id: r for p, r in pairs if isinstance(r, dict)}
 
     def count_suspicions(self, since: float, node_ids: t.Collection[str]) -> dict[str, int]:
-        """Count the suspicions and deaths of some nodes that were believed since a time."""
+        """Count how often one of the nodes was recorded as suspect or dead since ``since``."""
         counts = {"SUSPECT": 0, "DEAD": 0}
         for process in self.by_id.values():
             for at, node_id, state in process.history:
--- a/benchmarks/membership_participant.py
+++ b/benchmarks/membership_participant.py
@@ -1,6 +1,6 @@
-"""One node's membership as a process of its own, told what to do on standard input.
+"""Runs the membership of one node as a process that reads commands from standard input.
 
-Prints one JSON line for each change of what it believes of a member, and its counts on demand.
+Prints one JSON line for each change of a member's recorded state, and its counts on request.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 class LossyTransport:
-    """Loses a share of the datagrams that it is given."""
+    """Drops a share of the sent datagrams at random."""
 
     def __init__(self, inner: DatagramTransport, loss: float, rng: random.Random) -> None:
         self._inner = inner
@@ -42,7 +42,7 @@
         self._rng = rng
 
     def sendto(self, data: bytes, endpoint: Endpoint) -> None:
-        """Send, or lose."""
+        """Send a datagram, or drop it."""
         if self._rng.random() >= self._loss:
             self._inner.sendto(data, endpoint)
 
@@ -52,7 +52,7 @@
 
 
 class Participant:
-    """Membership wired as in a node, without targets and configuration."""
+    """Membership as a node sets it up, without a real target or configuration."""
 
     def __init__(self, node_id: str, data_centre: str, log_url: str, loss: float) -> None:
         self.node_id = node_id
@@ -64,7 +64,7 @@
         self._reported_states: dict[str, tuple[str, str]] = {}
 
     async def start(self) -> None:
-        """Start on free ports and print that this process is ready."""
+        """Start on a port that is free for TCP and UDP, and print the event ``ready``."""
         for _ in range(MAX_PORT_ATTEMPTS):
             self.timers = Timers(self.rng)
             await self.timers.start()
@@ -108,7 +108,7 @@
         await self.gossip.start()
 
     async def serve(self) -> None:
-        """Obey commands until told to stop."""
+        """Process commands until ``leave`` or the end of the input, then stop."""
         loop = asyncio.get_running_loop()
         reader = asyncio.StreamReader()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -161,7 +161,7 @@
 
 
 def emit(event: dict[str, t.Any]) -> None:
-    """Print one event."""
+    """Print one event as a JSON line."""
     sys.stdout.write(json.dumps(event) + "\n")
     sys.stdout.flush()
 
