--- a/tests/processes/fleet.py
+++ b/tests/processes/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes: the log, and nodes with a target beside each."""
+"""A small fleet of real processes: the log stand-in, and nodes with a target each."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
     ("velenje", "plots"),
     ("velenje", "payments"),
 )
-"""Two services in two data centres, a target of each in each."""
+"""Data centre and service of each pair of node and target: two services in two data centres."""
 FIRST_SEED = 10
 PATHS = ("/plots/7", "/payments/7")
 VIOLATIONS = ("lost", "doubled", "crossed", "cut", "false_not_run")
@@ -49,12 +49,12 @@
 
 
 def extra_route(publish_id: str) -> Configure:
-    """Return a change that adds one route."""
+    """Return a record that adds one route."""
     return Configure(1, publish_id, "ana", routes={f"/{publish_id}": RouteBody("plots")})
 
 
 class FleetNode:
-    """One node and its ports; the target beside it outlives a replaced node."""
+    """One node process and its ports; its target keeps running when the node is replaced."""
 
     def __init__(self, name: str, program: Program, ports: t.Sequence[int]) -> None:
         self.name = name
@@ -64,16 +64,16 @@
         self.operator_url = f"http://127.0.0.1:{self.operator_port}"
 
     def pause(self) -> None:
-        """Stop the process where it stands."""
+        """Suspend the process with SIGSTOP."""
         self.program.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let the process go on."""
+        """Continue the suspended process."""
         self.program.signal(signal.SIGCONT)
 
 
 class Fleet:
-    """Starts the programs, and stops every one of them in :meth:`close`."""
+    """Starts the programs; :meth:`close` kills all of them."""
 
     def __init__(self) -> None:
         self.nodes_by_name: dict[str, FleetNode] = {}
@@ -88,11 +88,11 @@
 
     @property
     def nodes(self) -> list[FleetNode]:
-        """The nodes that were not taken out."""
+        """The nodes that were not killed or removed."""
         return list(self.nodes_by_name.values())
 
     async def close(self) -> None:
-        """End every process that this fleet started."""
+        """Kill every process that this fleet started and remove their files."""
         if self._session is not None:
             await self._session.close()
         for program in self._programs:
@@ -106,9 +106,9 @@
         *arguments: str,
         variables: t.Mapping[str, str] | None = None,
     ) -> Program:
-        """Start a program whose log is kept under ``name``.
+        """Start a program that writes its log to the file ``name.log``.
 
-        :param variables: environment variables besides those of the tests.
+        :param variables: environment variables in addition to those of the test process.
         """
         log = self._directory / f"{name}.log"
         started = await Program.start(program, arguments, log, variables or {})
@@ -116,7 +116,7 @@
         return started
 
     async def start(self, *placements: tuple[str, str]) -> None:
-        """Start the log, and a node and a target for each data centre and service."""
+        """Start the log and a node and target for each placement, and wait until they are ready."""
         self._session = aiohttp.ClientSession()
         log = await self.start_program("bulrushflow-standin-log", "log")
         self.log_url = "http://" + (await log.wait_for_log(r"listens on (127\S+:\d+)"))[1]
@@ -129,7 +129,7 @@
         await self.wait_ready(len(placements))
 
     async def start_serving(self, *placements: tuple[str, str]) -> None:
-        """Start as :meth:`start` does, with the services and routes in force everywhere."""
+        """Start like :meth:`start`, with services and routes in force on every node."""
         await self.start(*placements)
         verdict = await self.publish(PLOTS_AND_PAYMENTS)
         await self.wait_converged(verdict.offset)
@@ -137,14 +137,14 @@
     async def start_pair(
         self, name: str, data_centre: str, service: str, version: str = "v1"
     ) -> None:
-        """Start a node and the target beside it."""
+        """Start a node and the target that announces itself to it."""
         node = await self.start_node(name, data_centre)
         await self.start_target(name, service, version, node.target_port)
 
     async def start_node(
         self, name: str, data_centre: str, target_port: int = 0, log_url: str | None = None
     ) -> FleetNode:
-        """Start a node; the system picks the ports that are 0."""
+        """Start a node; a port of 0 is assigned by the system."""
         settings = {
             "node_id": name,
             "data_centre": data_centre,
@@ -169,7 +169,7 @@
     async def start_target(
         self, name: str, service: str, version: str, announce_port: int, *arguments: str
     ) -> None:
-        """Start a target that announces itself at a port of this machine."""
+        """Start a target that announces itself to a local port."""
         target = await self.start_program(
             "bulrushflow-standin-target",
             f"target-{name}",
@@ -180,18 +180,18 @@
         self.target_urls_by_name[name] = f"http://{address}"
 
     async def kill(self, node: FleetNode) -> None:
-        """Kill a node and take it out of the fleet."""
+        """Kill a node and remove it from the fleet."""
         del self.nodes_by_name[node.name]
         await node.program.kill()
 
     async def status(self, node: FleetNode) -> NodeStatus:
-        """Ask a node for its status."""
+        """Return a node's status."""
         return msgspec.json.decode(await self.get(node.operator_url + "/status"), type=NodeStatus)
 
     async def get(self, url: str, timeout_s: float = WAIT_TIMEOUT_S) -> bytes:
-        """Return the body at a URL, whatever the status.
+        """Return the body of a response, whatever its status.
 
-        :raises TimeoutError: when no answer came in time.
+        :raises TimeoutError: when there is no response within ``timeout_s``.
         """
         assert self._session is not None
         timeout = aiohttp.ClientTimeout(total=timeout_s)
@@ -199,37 +199,37 @@
             return await response.read()
 
     async def post(self, url: str, body: t.Any) -> int:
-        """Post JSON; return the status."""
+        """Post a JSON body and return the status of the response."""
         assert self._session is not None
         async with self._session.post(url, data=msgspec.json.encode(body)) as response:
             return response.status
 
     async def set_log_faults(self, **faults: t.Any) -> None:
-        """Replace the log's faults."""
+        """Replace the injected faults of the log stand-in; without arguments there are none."""
         await self.post(self.log_url + "/faults", faults)
 
     async def wait_ready(self, targets: int) -> None:
-        """Wait until every node takes calls and knows so many ready targets and no others."""
+        """Wait until every node is ready and has exactly ``targets`` ready targets in its table."""
 
         async def ready() -> bool:
             statuses = await asyncio.gather(*(self.status(node) for node in self.nodes))
             return all(s.ready and _ready_targets(s) == targets for s in statuses)
 
-        await until(ready, f"{targets} ready targets known to every node")
+        await until(ready, f"{targets} ready targets on each of {len(self.nodes)} nodes")
 
     async def wait_converged(self, offset: int) -> NodeStatus:
-        """Wait until all nodes hold one digest at a version or a later one."""
+        """Wait until all nodes have the same digest, at version ``offset`` or later."""
         statuses: list[NodeStatus] = []
 
         async def converged() -> bool:
             statuses[:] = await asyncio.gather(*(self.status(node) for node in self.nodes))
             return len({s.digest for s in statuses}) == 1 and statuses[0].offset >= offset
 
-        await until(converged, f"one digest at version {offset} or later")
+        await until(converged, f"the same digest on all nodes at version {offset} or later")
         return statuses[0]
 
     async def publish(self, record: Record, via: FleetNode | None = None) -> Verdict:
-        """Publish as the operators' command does; return the verdict."""
+        """Publish a record like the operators' command, and return the verdict."""
         node = via or self.nodes[0]
         async with OperatorClient(self.log_url, node.operator_url, WAIT_TIMEOUT_S) as client:
             return (await client.publish(record)).unwrap()
@@ -248,8 +248,9 @@
         paths: t.Sequence[str] = PATHS,
         rate: float = 60.0,
     ) -> Program:
-        """Start seeded calls; the targets' records of runs are compared at the end."""
-        # Request ids follow from the seed, and targets count runs over all loads.
+        """Start the load tool, which checks its calls against the runs that targets recorded."""
+        # Request ids are derived from the seed, and targets count runs across all loads, so each
+        # load needs a seed of its own.
         self._loads += 1
         seed = FIRST_SEED + self._loads
         arguments = ["--rate", str(rate), "--seconds", str(seconds), "--seed", str(seed)]
@@ -265,14 +266,14 @@
 
 
 class FleetTestCase(unittest.IsolatedAsyncioTestCase):
-    """Gives each test a fleet that ends with it."""
+    """Provides each test with a fleet that is closed after it."""
 
     async def asyncSetUp(self) -> None:
         self.fleet = Fleet()
         self.addAsyncCleanup(self.fleet.close)
 
     async def assert_calls_intact(self, load: Program) -> dict[str, t.Any]:
-        """Check that no call was lost, doubled, crossed, cut or falsely said not to have run."""
+        """Check that no call was lost, doubled, crossed, cut or falsely reported as not run."""
         summary = await load_summary(load)
         violations = {name: summary[name] for name in VIOLATIONS if summary[name]}
         self.assertFalse(violations, summary)
--- a/tests/processes/programs.py
+++ b/tests/processes/programs.py
@@ -1,4 +1,4 @@
-"""Starting the programs as processes, and learning their ports from their logs."""
+"""Starts the programs as processes and reads their output and logs."""
 
 import asyncio
 import os
@@ -11,7 +11,7 @@
 import msgspec
 
 WAIT_TIMEOUT_S = 60.0
-"""Only ends a test that would wait for ever; no verdict depends on it."""
+"""Ends a test that would otherwise wait forever; no assertion depends on the value."""
 POLL_S = 0.05
 SOURCE = pathlib.Path(__file__).resolve().parents[2] / "src"
 
@@ -29,7 +29,8 @@
 ) -> None:
     """Wait until a condition holds.
 
-    :param what: said in the failure when it never does.
+    :param what: description of the condition for the failure.
+    :raises AssertionError: when the condition does not hold within ``WAIT_TIMEOUT_S``.
     """
     try:
         async with asyncio.timeout(WAIT_TIMEOUT_S):
@@ -38,11 +39,11 @@
                     return
                 await asyncio.sleep(poll_s)
     except TimeoutError:
-        raise AssertionError(f"never came true: {what}") from None
+        raise AssertionError(f"not within {WAIT_TIMEOUT_S} s: {what}") from None
 
 
 class Program:
-    """One started program; its output and its log go to files."""
+    """A started program whose standard output and log are written to files."""
 
     def __init__(self, process: asyncio.subprocess.Process, log: pathlib.Path) -> None:
         self._process = process
@@ -56,7 +57,7 @@
         log: pathlib.Path,
         variables: t.Mapping[str, str],
     ) -> "Program":
-        """Start a program with this interpreter."""
+        """Start a program with the interpreter of the tests."""
         entry = ENTRY_BY_PROGRAM[program]
         code = f"import sys; sys.argv[0] = {program!r}; from {entry} import main; main()"
         paths = [str(SOURCE), os.environ.get("PYTHONPATH", "")]
@@ -88,12 +89,18 @@
         return self._log.read_text(encoding="utf-8", errors="replace")
 
     async def wait_for_log(self, pattern: str) -> re.Match[str]:
-        """Wait for a line of the log that matches."""
+        """Wait for the first match in the log and return it.
+
+        :raises AssertionError: when the program exits or ``WAIT_TIMEOUT_S`` passes before.
+        """
         found: list[re.Match[str]] = []
 
         async def seen() -> bool:
             if self.ended:
-                raise AssertionError(f"{self._log.name} ended early: {self.errors()}")
+                raise AssertionError(
+                    f"{self._log.name}: exited with status {self._process.returncode} before it "
+                    f"logged {pattern!r}: {self.errors()}"
+                )
             match = re.search(pattern, self.errors())
             if match is not None:
                 found.append(match)
@@ -108,26 +115,29 @@
             self._process.send_signal(number)
 
     async def output(self) -> tuple[int, str]:
-        """Wait for the end; return the exit status and the standard output."""
+        """Wait for the exit; return the exit status and the standard output."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             status = await self._process.wait()
         return status, self._log.with_suffix(".out").read_text(encoding="utf-8")
 
     async def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait for its exit."""
         self.signal(signal.SIGKILL)
         await self._process.wait()
 
     async def terminate(self) -> int:
-        """Ask the process to stop; return its exit status."""
+        """Send SIGTERM, wait for the exit and return the exit status."""
         self.signal(signal.SIGTERM)
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await self._process.wait()
 
 
 async def load_summary(load: Program) -> dict[str, t.Any]:
-    """Wait for the load tool's end and return its summary."""
+    """Wait for the load tool to exit and return its summary.
+
+    :raises AssertionError: when it printed none.
+    """
     _, output = await load.output()
     if not output.strip():
-        raise AssertionError(f"the load tool printed nothing: {load.errors()}")
+        raise AssertionError(f"the load tool printed no summary; its log: {load.errors()}")
     return msgspec.json.decode(output, type=dict[str, t.Any])
--- a/tests/processes/relay.py
+++ b/tests/processes/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can swallow bytes both ways while its connections stay open."""
+"""A TCP relay that can discard all bytes in both directions of its open connections."""
 
 import asyncio
 
@@ -6,9 +6,9 @@
 
 
 class Relay:
-    """Passes connections on to a port of this machine.
+    """Forwards connections to a local port.
 
-    :meth:`silence` makes the connections that are open now go silent; later ones work.
+    :meth:`silence` affects only connections that are already open; later ones are forwarded.
     """
 
     def __init__(self, target_port: int) -> None:
@@ -21,7 +21,7 @@
         self._writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> None:
-        """Listen on a port that the system picks."""
+        """Listen on a port assigned by the system."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -34,7 +34,7 @@
         await asyncio.gather(*self._tasks)
 
     def silence(self) -> None:
-        """Swallow all further bytes on the connections that are open now."""
+        """Discard all further bytes on the open connections, without closing them."""
         self._last_silenced = self.opened
 
     async def _accept(
@@ -59,6 +59,6 @@
                     await writer.drain()
         except OSError:
             pass
-        # An end that closes a silent connection is not heard of by the other end either.
+        # The close of a silenced connection is not forwarded either.
         if number > self._last_silenced:
             writer.close()
--- a/tests/processes/test_command_line.py
+++ b/tests/processes/test_command_line.py
@@ -1,4 +1,4 @@
-"""The operators' command line: exit status, and what it says on good and bad input."""
+"""Exit status and output of the operators' commands on valid and invalid input."""
 
 import asyncio
 import pathlib
@@ -30,7 +30,7 @@
 UNREACHABLE = "http://127.0.0.1:9"
 
 STEPS: tuple[tuple[tuple[str, int, str], ...], ...] = (
-    # Commands of one step run at once: arguments, exit status, a part of what is said.
+    # Commands of one step run concurrently: arguments, exit status, a part of the output.
     (
         ("--help", 0, "Exit status: 0 done"),
         ("publish --help", 0, "--publish-id"),
--- a/tests/processes/test_graceful_stops.py
+++ b/tests/processes/test_graceful_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops: nothing in flight is cut, and the fleet goes on without the node."""
+"""Planned stops: no call in flight is interrupted, and the other nodes keep serving."""
 
 from functools import partial
 
@@ -6,11 +6,11 @@
 from tests.processes.programs import until
 
 WORK_MS = 1000
-"""Longer than a node takes to end, so that calls are cut unless it waits for them."""
+"""Longer than a node takes to exit, so that calls are cut unless the node waits for them."""
 RATE = 24.0
-"""Calls a second: about six are in flight at each target, and two targets can take them all."""
+"""Calls per second: about six are in flight at each target, and two targets can serve them all."""
 PLACEMENTS = 2 * (("celje-a", "plots"), ("celje-a", "payments"))
-"""One data centre, so that the nodes that leave get their part of the calls."""
+"""All in one data centre, so that the leaving nodes receive their share of the calls."""
 
 
 class GracefulStopTests(FleetTestCase):
--- a/tests/processes/test_killed_nodes.py
+++ b/tests/processes/test_killed_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that are killed: calls, and convergence with the nodes that take their place."""
+"""Killed nodes: calls through the others stay intact, and the replacements converge."""
 
 from tests.processes.fleet import PLACEMENTS
 from tests.processes.fleet import FleetTestCase
--- a/tests/processes/test_log_faults.py
+++ b/tests/processes/test_log_faults.py
@@ -1,4 +1,4 @@
-"""The log down, slow, and losing answers; alone and together with killed nodes."""
+"""Calls and publishes while the log is down, slow or loses responses, also with killed nodes."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
         fleet = self.fleet
         await fleet.start_serving(*PLACEMENTS)
         load = await fleet.start_load("log", [n.caller_url for n in fleet.nodes], 5)
-        with self.subTest("answers lost after the write"):
+        with self.subTest("responses lost after the write"):
             await fleet.set_log_faults(lose_answers=3, lose_stream=CONFIGURATION_STREAM)
             lossy = await fleet.publish(extra_route("lossy"))
             self.assertTrue(lossy.accepted)
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -1,4 +1,4 @@
-"""A bad target version while the log is down: stopped at once, recorded and accounted for later."""
+"""A faulty version while the log is down: rolled back at once, recorded after the outage."""
 
 import time
 import typing as t
@@ -16,7 +16,7 @@
 
 FINISH_AFTER_MS = 600_000
 MAX_LOADS = 10
-"""Only ends a test that would go on for ever."""
+"""Ends a test that would otherwise go on forever."""
 
 
 class RolloutTests(FleetTestCase):
@@ -45,7 +45,7 @@
             accounts = [await self.fetch_move_account(node.operator_url) for node in fleet.nodes]
             return all(a.move.status is RolloutStatus.ROLLED_BACK for a in accounts)
 
-        await until(recorded, "the take-back on the log and on every node")
+        await until(recorded, "the rollback on the log and on every node")
         report = await self.fetch_incident_account()
         self.assertEqual((report.notes, report.unrecorded), ([], []))
         started = next(e for e in report.events if e.publish_id == "m")
@@ -54,14 +54,14 @@
         self.assertTrue(finished.by.startswith("node ") and finished.evidence, finished)
 
     async def call_until(self, condition: t.Callable[[], t.Awaitable[bool]]) -> None:
-        """Send calls until a condition holds; each of them must be answered whole."""
+        """Send loads of calls until a condition holds, and check every load."""
         for number in range(MAX_LOADS):
             urls = [node.caller_url for node in self.fleet.nodes]
             load = await self.fleet.start_load(f"moves-{number}", urls, 3, ["/plots/7"])
             await self.assert_calls_intact(load)
             if await condition():
                 return
-        self.fail(f"{condition.__name__} never came true")
+        self.fail(f"{condition.__name__} was false after {MAX_LOADS} loads")
 
     async def has_traffic_share(self) -> bool:
         return (await self.fetch_move_account(self.fleet.nodes[0].operator_url)).share_permille > 0
--- a/tests/processes/test_paused_nodes.py
+++ b/tests/processes/test_paused_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that are paused past every timeout and then go on."""
+"""Nodes that are paused for longer than every timeout and then resume."""
 
 from bulrushflow.configuration import Configure
 from bulrushflow.configuration import RouteBody
@@ -15,7 +15,7 @@
 
 class PausedNodesTests(FleetTestCase):
     async def wait_declared_dead(self, paused: list[FleetNode]) -> None:
-        """Wait until no running node counts a paused one as a member."""
+        """Wait until no running node considers a paused one alive or suspect."""
         names = {node.name for node in paused}
 
         async def dead() -> bool:
@@ -27,7 +27,7 @@
                     return False
             return True
 
-        await until(dead, f"{sorted(names)} taken for dead")
+        await until(dead, f"{sorted(names)} declared dead by the running nodes")
 
     async def test_resumed_node_serves_no_call_with_an_outdated_configuration(self) -> None:
         fleet = self.fleet
@@ -40,7 +40,7 @@
         offsets: list[int] = []
 
         async def caught_up() -> bool:
-            # Refused while the node does not know whether its version is the newest.
+            # Calls are refused until the node has checked that its version is the newest.
             self.assertNotIn(b"body_digest", await fleet.get(paused.caller_url + "/plots/1"))
             offsets.append((await fleet.status(paused)).offset)
             return offsets[-1] >= verdict.offset
--- a/tests/processes/test_racing_operators.py
+++ b/tests/processes/test_racing_operators.py
@@ -1,4 +1,4 @@
-"""Operators who race: one outcome, the same on every node, and the loser told why."""
+"""Conflicting concurrent records: one is accepted, the other rejected, alike on every node."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
 
 class RacingOperatorsTests(FleetTestCase):
     async def assert_one_accepted(self, reason: str, *records: Record) -> None:
-        """Publish through different nodes at once; all but one are rejected for the reason."""
+        """Publish concurrently through different nodes and check that all but one are rejected."""
         fleet = self.fleet
         nodes = fleet.nodes
         verdicts = await asyncio.gather(
--- a/tests/processes/test_silent_connections.py
+++ b/tests/processes/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that go silent while new ones work."""
+"""Established connections that go silent while new ones work: calls move to new connections."""
 
 import typing as t
 
@@ -15,7 +15,7 @@
 
 class SilentConnectionTests(FleetTestCase):
     async def start_relayed_target(self, service: str) -> Relay:
-        """Start a node whose target it reaches only through a relay."""
+        """Start a node that reaches its target only through a relay, and return the relay."""
         fleet = self.fleet
         node = await fleet.start_node(f"relayed-{service}", "celje-b")
         relay = Relay(0)
@@ -64,10 +64,10 @@
         url = fleet.nodes_by_name["relayed-plots"].caller_url + "/plots/1"
 
         async def answered() -> bool:
-            answer = msgspec.json.decode(await fleet.get(url), type=dict[str, t.Any])
-            return "body_digest" in answer
+            body = msgspec.json.decode(await fleet.get(url), type=dict[str, t.Any])
+            return "body_digest" in body
 
-        await until(answered, "an answer through the relayed node")
+        await until(answered, "a successful response through the relayed node")
         self.assertGreaterEqual(opened, 2)
         with self.subTest("a caller's connection"):
             await self.check_caller_connection(fleet.nodes[0])
