--- a/benchmarks/fold.py
+++ b/benchmarks/fold.py
@@ -1,7 +1,7 @@
-"""Measures the fold and snapshots at a configuration of the size designed for.
+"""Measures the fold and snapshots with a configuration of the largest intended size.
 
-Targets: less than 100 µs a record in pages of 500, less than 50 ms to write or open a snapshot, and
-a snapshot below 1 MB.
+Goals: less than 100 µs per record in pages of 500, less than 50 ms to make or open a snapshot, and
+a snapshot record below 1 MB.
 """
 
 import gc
@@ -37,7 +37,7 @@
 
 SERVICES = 500
 ROUTES_PER_SERVICE = 3
-MOVES = 64
+ROLLOUTS = 64
 STEPS = 6
 PAGE_RECORDS = 500
 REPEATS = 5
@@ -47,7 +47,7 @@
 
 
 def build(rng: random.Random) -> tuple[list[LogRecord], Configuration]:
-    """Return a log that fills every bound of the state, and the state."""
+    """Return a log whose state reaches its size limits, and that state."""
     records: list[Record] = []
     for i in range(SERVICES):
         paths = [f"/service-{i}/{j}" for j in range(ROUTES_PER_SERVICE)]
@@ -60,7 +60,7 @@
                 routes={path: RouteBody(f"service-{i}") for path in paths},
             )
         )
-    for i in range(MOVES):
+    for i in range(ROLLOUTS):
         move_id = f"{rng.getrandbits(64):016x}"
         records.append(StartRollout(1, move_id, "operator", f"service-{i}", "v2", FAR_FUTURE_MS))
         for k in range(STEPS):
@@ -81,36 +81,36 @@
 
 
 def fold_pages(log: list[LogRecord], page: int) -> Configuration:
-    """Fold a log in pages."""
+    """Fold a log in pages of ``page`` records and return the final state."""
     state = EMPTY_CONFIGURATION
     for start in range(0, len(log), page):
         state = fold_records(state, log[start : start + page]).configuration
     return state
 
 
-def best_s(work: t.Callable[[], object]) -> float:
-    """Return the shortest of several runs, in seconds."""
+def best_s(function: t.Callable[[], object]) -> float:
+    """Return the shortest duration of ``REPEATS`` calls, in seconds."""
     times = []
     for _ in range(REPEATS):
         started_at = time.perf_counter()
-        work()
+        function()
         times.append(time.perf_counter() - started_at)
     return min(times)
 
 
-def held_bytes(build_up: t.Callable[[], object]) -> int:
-    """Return the memory of what ``build_up`` returns."""
+def retained_bytes(make: t.Callable[[], object]) -> int:
+    """Return the memory in bytes that the result of ``make`` keeps allocated."""
     tracemalloc.start()
-    held = build_up()
+    value = make()
     gc.collect()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del held
+    del value
     return size
 
 
-def filled_store(log: list[LogRecord]) -> ConfigurationStore:
-    """Return a node's store after a whole log, with the records that it holds for peers."""
+def make_filled_store(log: list[LogRecord]) -> ConfigurationStore:
+    """Return a node's store after a whole log, with the records it keeps for its peers."""
     store = ConfigurationStore()
     for start in range(0, len(log), PAGE_RECORDS):
         copies = (LogRecord(r.offset, r.appended_at_ms, bytes(bytearray(r.body))) for r in log)
@@ -119,7 +119,7 @@
 
 
 def measure(seed: int) -> Figures:
-    """Return the figures."""
+    """Return sizes, durations and memory by the names of the report."""
     log, state = build(random.Random(seed))
     snapshot = make_snapshot(state)
     record = encode_record(snapshot)
@@ -140,7 +140,7 @@
         "make_snapshot_ms": best_s(lambda: make_snapshot(state)) * 1e3,
         "open_snapshot_ms": best_s(lambda: open_snapshot(snapshot)) * 1e3,
         "snapshot_record_bytes": len(record),
-        "store_memory_bytes": held_bytes(lambda: filled_store(log)),
+        "store_memory_bytes": retained_bytes(lambda: make_filled_store(log)),
     }
 
 
--- a/benchmarks/membership_fleet.py
+++ b/benchmarks/membership_fleet.py
@@ -1,4 +1,4 @@
-"""Participants as processes: what membership costs and how quickly news reaches all."""
+"""Runs participants as processes and measures their traffic and the delays of updates."""
 
 import asyncio
 import json
@@ -14,47 +14,54 @@
 import aiohttp
 
 DATA_CENTRES = ("celje-a", "celje-b", "velenje")
-GUARD_S = 60.0
-READY_S = 60.0
-REPORT_S = 3.0
+WAIT_TIMEOUT_S = 60.0
+READY_TIMEOUT_S = 60.0
+REPORT_TIMEOUT_S = 3.0
 ROOT = pathlib.Path(__file__).parent.parent
 
-Belief = tuple[str, str]
+RecordedState = tuple[str, str]
+"""Status and target state that a participant has recorded for a member."""
 
 
-class Process:
-    """One participant and what it printed."""
+class ParticipantProcess:
+    """One participant process and the events that it printed."""
 
     def __init__(self, node_id: str, process: asyncio.subprocess.Process) -> None:
         self.node_id = node_id
         self.process = process
         self.ready_at = 0.0
         self.draining_at = 0.0
-        self.beliefs: dict[str, tuple[float, Belief]] = {}
-        self.history: list[tuple[float, str, Belief]] = []
+        self.states_by_id: dict[str, tuple[float, RecordedState]] = {}
+        self.history: list[tuple[float, str, RecordedState]] = []
         self.report: dict[str, t.Any] = {}
         self._reported = asyncio.Event()
         self._ready = asyncio.Event()
         self.reader = asyncio.create_task(self._read())
 
-    async def until_ready(self) -> None:
-        """Wait until its sockets are open."""
-        await asyncio.wait_for(self._ready.wait(), READY_S)
+    async def wait_ready(self) -> None:
+        """Wait until the participant's sockets are open.
+
+        :raises TimeoutError: when they are not within ``READY_TIMEOUT_S``.
+        """
+        await asyncio.wait_for(self._ready.wait(), READY_TIMEOUT_S)
 
     async def fetch_report(self) -> dict[str, t.Any]:
-        """Return its counts."""
+        """Return the participant's current counts.
+
+        :raises TimeoutError: when none arrive within ``REPORT_TIMEOUT_S``.
+        """
         self._reported.clear()
-        self.tell("report")
-        await asyncio.wait_for(self._reported.wait(), REPORT_S)
+        self.send_command("report")
+        await asyncio.wait_for(self._reported.wait(), REPORT_TIMEOUT_S)
         return self.report
 
-    def tell(self, command: str) -> None:
-        """Send a command."""
+    def send_command(self, command: str) -> None:
+        """Write a command to the participant's standard input."""
         assert self.process.stdin is not None
         self.process.stdin.write(f"{command}\n".encode())
 
     def send_signal(self, number: int) -> None:
-        """Signal this very process."""
+        """Send a signal to the process."""
         os.kill(self.process.pid, number)
 
     async def _read(self) -> None:
@@ -71,17 +78,17 @@
                     self.report = event
                     self._reported.set()
                 case _:
-                    belief = (event["belief"][0], event["belief"][1])
-                    self.beliefs[event["id"]] = (event["at"], belief)
-                    self.history.append((event["at"], event["id"], belief))
+                    state = (event["belief"][0], event["belief"][1])
+                    self.states_by_id[event["id"]] = (event["at"], state)
+                    self.history.append((event["at"], event["id"], state))
 
 
 class Fleet:
-    """The log's stand-in and all participants."""
+    """The log stand-in and all participants."""
 
     def __init__(self, loss: float) -> None:
         self.loss = loss
-        self.by_id: dict[str, Process] = {}
+        self.by_id: dict[str, ParticipantProcess] = {}
         self.started = 0
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
@@ -89,7 +96,10 @@
         self.log_url = f"http://127.0.0.1:{self.log_port}"
 
     async def start_log(self) -> None:
-        """Start the log's stand-in."""
+        """Start the log stand-in and wait until it responds.
+
+        :raises RuntimeError: when it does not.
+        """
         code = "from bulrushflow.standins.log import main; main()"
         self.log = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -106,18 +116,18 @@
                         return
                 except aiohttp.ClientError:
                     await asyncio.sleep(0.1)
-        raise RuntimeError("the log's stand-in does not answer")
+        raise RuntimeError(f"the log stand-in did not respond at {self.log_url} after 200 attempts")
 
     async def log_counts(self) -> dict[str, int]:
-        """Return the reads and appends that the log served."""
+        """Return the numbers of reads and appends that the log has served."""
         url = self.log_url + "/counts"
         async with aiohttp.ClientSession() as session, session.get(url) as response:
             counts: dict[str, int] = await response.json()
             return counts
 
-    async def add(self, count: int) -> list[Process]:
+    async def add(self, count: int) -> list[ParticipantProcess]:
         """Start participants and wait until their sockets are open."""
-        made = []
+        added = []
         for _ in range(count):
             number = self.started
             self.started += 1
@@ -134,84 +144,98 @@
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
             )
-            self.by_id[node_id] = Process(node_id, process)
-            made.append(self.by_id[node_id])
-        await asyncio.gather(*(p.until_ready() for p in made))
-        return made
+            self.by_id[node_id] = ParticipantProcess(node_id, process)
+            added.append(self.by_id[node_id])
+        await asyncio.gather(*(p.wait_ready() for p in added))
+        return added
 
-    async def remove(self, process: Process, command: str | int) -> None:
-        """Have a participant leave, or end it with a signal."""
+    async def remove(self, process: ParticipantProcess, command: str | int) -> None:
+        """Stop a participant by a command or a signal and wait for its exit."""
         del self.by_id[process.node_id]
         if isinstance(command, int):
             process.send_signal(command)
         else:
-            process.tell(command)
+            process.send_command(command)
         await process.process.wait()
         await process.reader
 
     async def stop(self) -> None:
-        """End all processes that this object started."""
+        """Kill the participants and stop the log stand-in."""
         for process in self.by_id.values():
             process.send_signal(signal.SIGKILL)
         await asyncio.gather(*(p.process.wait() for p in self.by_id.values()))
         self.log.terminate()
         await self.log.wait()
 
-    async def until(self, condition: t.Callable[[], bool]) -> bool:
-        """Wait until a condition holds; ``False`` when it did not in time."""
-        end = time.monotonic() + GUARD_S
+    async def wait_for(self, condition: t.Callable[[], bool]) -> bool:
+        """Wait until a condition holds; return whether it did within ``WAIT_TIMEOUT_S``."""
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < end:
             if condition():
                 return True
             await asyncio.sleep(0.05)
         return False
 
-    async def until_whole(self) -> float | None:
-        """Wait until each participant holds exactly the others alive; return when, if it did."""
+    async def wait_complete(self) -> float | None:
+        """Wait until each participant records exactly the others as alive.
+
+        Returns the monotonic time of the last state change, ``None`` on a timeout.
+        """
         ids = set(self.by_id)
 
-        def whole() -> bool:
+        def complete() -> bool:
             return all(
-                {i for i, (_, b) in p.beliefs.items() if b[0] == "ALIVE"} | {p.node_id} == ids
+                {i for i, (_, s) in p.states_by_id.items() if s[0] == "ALIVE"} | {p.node_id} == ids
                 for p in self.by_id.values()
             )
 
-        if not await self.until(whole):
+        if not await self.wait_for(complete):
             return None
-        return max(at for p in self.by_id.values() for at, _ in p.beliefs.values())
+        return max(at for p in self.by_id.values() for at, _ in p.states_by_id.values())
 
-    async def until_believed(
-        self, node_id: str, beliefs: t.Collection[str], since: float, index: int = 0
+    async def wait_recorded(
+        self, node_id: str, states: t.Collection[str], since: float, index: int = 0
     ) -> list[float]:
-        """Wait until all others hold one of some beliefs of a node; return the delays in s."""
+        """Wait until all other participants record one of the given states for a node.
+
+        :param since: monotonic time from which the delays count.
+        :param index: 0 to compare the member's status, 1 to compare its target's state.
+        :return: the delays in seconds of those that recorded it within ``WAIT_TIMEOUT_S``.
+        """
         others = [p for p in self.by_id.values() if p.node_id != node_id]
 
-        def held(process: Process) -> bool:
-            return node_id in process.beliefs and process.beliefs[node_id][1][index] in beliefs
+        def recorded(process: ParticipantProcess) -> bool:
+            return (
+                node_id in process.states_by_id
+                and process.states_by_id[node_id][1][index] in states
+            )
 
-        await self.until(lambda: all(held(p) for p in others))
+        await self.wait_for(lambda: all(recorded(p) for p in others))
         return [
-            min(at for at, i, b in p.history if i == node_id and b[index] in beliefs) - since
+            min(at for at, i, s in p.history if i == node_id and s[index] in states) - since
             for p in others
-            if held(p)
+            if recorded(p)
         ]
 
     async def traffic(self, seconds: float) -> dict[str, t.Any]:
-        """Return bytes per second and processor time of those that live through a time."""
+        """Return bytes per second and processor use of the participants over a period.
+
+        Only participants that reported at its start and at its end are counted.
+        """
         before = await self._reports()
         await asyncio.sleep(seconds)
         after = await self._reports()
-        lasting = [i for i in after if i in before]
+        surviving = [i for i in after if i in before]
         rates: dict[str, list[float]] = {"sent": [], "received": [], "cpu": []}
         kinds: dict[str, float] = {}
-        for node_id in lasting:
+        for node_id in surviving:
             first, last = before[node_id], after[node_id]
             span_s = last["at"] - first["at"]
             totals = {"sent": 0.0, "received": 0.0}
             for kind, count in last["bytes_by_kind"].items():
                 rate = (count - first["bytes_by_kind"].get(kind, 0)) / span_s
                 totals[kind.split()[0]] += rate
-                kinds[kind] = kinds.get(kind, 0.0) + rate / len(lasting)
+                kinds[kind] = kinds.get(kind, 0.0) + rate / len(surviving)
             rates["sent"].append(totals["sent"])
             rates["received"].append(totals["received"])
             rates["cpu"].append((last["cpu_s"] - first["cpu_s"]) / span_s * 100)
@@ -225,17 +249,19 @@
         }
 
     async def _reports(self) -> dict[str, dict[str, t.Any]]:
-        """Return the counts of all that live on until they have answered."""
-        asked = list(self.by_id.values())
-        reports = await asyncio.gather(*(p.fetch_report() for p in asked), return_exceptions=True)
-        pairs = zip(asked, reports, strict=True)
+        """Return the counts by id of all participants that responded."""
+        participants = list(self.by_id.values())
+        reports = await asyncio.gather(
+            *(p.fetch_report() for p in participants), return_exceptions=True
+        )
+        pairs = zip(participants, reports, strict=True)
         return {p.node_id: r for p, r in pairs if isinstance(r, dict)}
 
-    def doubts(self, since: float, node_ids: t.Collection[str]) -> dict[str, int]:
-        """Count the suspicions and deaths of some nodes that were believed since a time."""
+    def count_suspicions(self, since: float, node_ids: t.Collection[str]) -> dict[str, int]:
+        """Count how often one of the nodes was recorded as suspect or dead since ``since``."""
         counts = {"SUSPECT": 0, "DEAD": 0}
         for process in self.by_id.values():
-            for at, node_id, belief in process.history:
-                if at >= since and node_id in node_ids and belief[0] in counts:
-                    counts[belief[0]] += 1
+            for at, node_id, state in process.history:
+                if at >= since and node_id in node_ids and state[0] in counts:
+                    counts[state[0]] += 1
         return counts
--- a/benchmarks/membership_participant.py
+++ b/benchmarks/membership_participant.py
@@ -1,6 +1,6 @@
-"""One node's membership as a process of its own, told what to do on standard input.
+"""Runs the membership of one node as a process that reads commands from standard input.
 
-Prints one JSON line for each change of what it believes of a member, and its counts on demand.
+Prints one JSON line for each change of a member's recorded state, and its counts on request.
 """
 
 import asyncio
@@ -30,11 +30,11 @@
 from bulrushflow.wire import Links
 from bulrushflow.wire.links import Endpoint
 
-PORT_TRIES = 20
+MAX_PORT_ATTEMPTS = 20
 
 
 class LossyTransport:
-    """Loses a share of the datagrams that it is given."""
+    """Drops a share of the sent datagrams at random."""
 
     def __init__(self, inner: DatagramTransport, loss: float, rng: random.Random) -> None:
         self._inner = inner
@@ -42,7 +42,7 @@
         self._rng = rng
 
     def sendto(self, data: bytes, endpoint: Endpoint) -> None:
-        """Send, or lose."""
+        """Send a datagram, or drop it."""
         if self._rng.random() >= self._loss:
             self._inner.sendto(data, endpoint)
 
@@ -52,7 +52,7 @@
 
 
 class Participant:
-    """Membership wired as in a node, without targets and configuration."""
+    """Membership as a node sets it up, without a real target or configuration."""
 
     def __init__(self, node_id: str, data_centre: str, log_url: str, loss: float) -> None:
         self.node_id = node_id
@@ -61,11 +61,11 @@
         self.rng = random.Random(node_id)
         self.log = HttpLog(log_url, 5.0)
         self.bytes_by_kind: dict[str, int] = {}
-        self._believed: dict[str, tuple[str, str]] = {}
+        self._reported_states: dict[str, tuple[str, str]] = {}
 
     async def start(self) -> None:
-        """Start on free ports and print that this process is ready."""
-        for _ in range(PORT_TRIES):
+        """Start on a port that is free for TCP and UDP, and print the event ``ready``."""
+        for _ in range(MAX_PORT_ATTEMPTS):
             self.timers = Timers(self.rng)
             await self.timers.start()
             self.links = Links("127.0.0.1", 0, self.timers)
@@ -108,7 +108,7 @@
         await self.gossip.start()
 
     async def serve(self) -> None:
-        """Obey commands until told to stop."""
+        """Process commands until ``leave`` or the end of the input, then stop."""
         loop = asyncio.get_running_loop()
         reader = asyncio.StreamReader()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -149,11 +149,11 @@
     def _observe(self) -> None:
         now = time.monotonic()
         for member in self.table.by_id.values():
-            state = member.target.state.name if member.target is not None else ""
-            belief = (member.status.name, state)
-            if self._believed.get(member.node_id) != belief:
-                self._believed[member.node_id] = belief
-                emit({"event": "belief", "at": now, "id": member.node_id, "belief": belief})
+            target_state = member.target.state.name if member.target is not None else ""
+            state = (member.status.name, target_state)
+            if self._reported_states.get(member.node_id) != state:
+                self._reported_states[member.node_id] = state
+                emit({"event": "belief", "at": now, "id": member.node_id, "belief": state})
 
     def _count(self, direction: str, kind: str, count: int) -> None:
         key = f"{direction} {kind}"
@@ -161,7 +161,7 @@
 
 
 def emit(event: dict[str, t.Any]) -> None:
-    """Print one event."""
+    """Print one event as a JSON line."""
     sys.stdout.write(json.dumps(event) + "\n")
     sys.stdout.flush()
 
--- a/tests/processes/test_silent_connections.py
+++ b/tests/processes/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that go silent while new ones work."""
+"""Established connections that go silent while new ones work: calls move to new connections."""
 
 import typing as t
 
@@ -15,7 +15,7 @@
 
 class SilentConnectionTests(FleetTestCase):
     async def start_relayed_target(self, service: str) -> Relay:
-        """Start a node whose target it reaches only through a relay."""
+        """Start a node that reaches its target only through a relay, and return the relay."""
         fleet = self.fleet
         node = await fleet.start_node(f"relayed-{service}", "celje-b")
         relay = Relay(0)
@@ -43,7 +43,7 @@
         await fleet.start_target(f"relayed-{service}", service, "v1", announce_port)
         return relay
 
-    async def test_silent_connections_to_a_target_and_from_a_caller_give_way_to_new_ones(
+    async def test_silent_target_and_caller_connections_are_replaced(
         self,
     ) -> None:
         fleet = self.fleet
@@ -59,20 +59,20 @@
 
         await until(used, "a call through the relay")
         relay.silence()
-        await self.assert_calls_whole(load)
+        await self.assert_calls_intact(load)
         opened = relay.opened
         url = fleet.nodes_by_name["relayed-plots"].caller_url + "/plots/1"
 
         async def answered() -> bool:
-            answer = msgspec.json.decode(await fleet.get(url), type=dict[str, t.Any])
-            return "body_digest" in answer
+            body = msgspec.json.decode(await fleet.get(url), type=dict[str, t.Any])
+            return "body_digest" in body
 
-        await until(answered, "an answer through the relayed node")
+        await until(answered, "a successful response through the relayed node")
         self.assertGreaterEqual(opened, 2)
         with self.subTest("a caller's connection"):
-            await self.check_caller(fleet.nodes[0])
+            await self.check_caller_connection(fleet.nodes[0])
 
-    async def check_caller(self, node: FleetNode) -> None:
+    async def check_caller_connection(self, node: FleetNode) -> None:
         fleet = self.fleet
         relay = Relay(node.caller_port)
         await relay.start()
