--- a/benchmarks/move_model/run.py
+++ b/benchmarks/move_model/run.py
@@ -4,24 +4,24 @@
 import typing as t
 from dataclasses import dataclass
 
-from benchmarks.move_model.draws import binomial
-from benchmarks.move_model.draws import latencies
-from benchmarks.move_model.draws import poisson
-from benchmarks.move_model.policies import NEW
-from benchmarks.move_model.policies import OLD
+from benchmarks.move_model.draws import draw_binomial
+from benchmarks.move_model.draws import draw_latencies
+from benchmarks.move_model.draws import draw_poisson
+from benchmarks.move_model.policies import NEW_VERSION
+from benchmarks.move_model.policies import OLD_VERSION
+from benchmarks.move_model.policies import CountsByVersionRoute
 from benchmarks.move_model.policies import Policy
-from benchmarks.move_model.policies import Totals
-from benchmarks.move_model.scenarios import COLD
+from benchmarks.move_model.scenarios import COLD_LATENCY
 from benchmarks.move_model.scenarios import ROUTES
 from benchmarks.move_model.scenarios import Outcome
 from benchmarks.move_model.scenarios import Scenario
 from bulrushflow.rollouts import RouteCounts
 from bulrushflow.rollouts import WarmUp
 
-COLD_S = 8.0
-COLD_CALLS = 5
-NEW_TARGETS = 2
-SECOND_TARGET_AT = 0.4
+COLD_START_S = 8.0
+COLD_START_CALLS = 5
+NEW_TARGET_COUNT = 2
+SECOND_TARGET_READY_FRACTION = 0.4
 """Part of the move's time at which the second new target becomes ready."""
 
 
@@ -57,7 +57,7 @@
     def is_cold(self, now_s: float, calls: int) -> bool:
         if self._first_call_s is None:
             self._first_call_s = now_s
-        cold = self._calls < COLD_CALLS or now_s - self._first_call_s < COLD_S
+        cold = self._calls < COLD_START_CALLS or now_s - self._first_call_s < COLD_START_S
         self._calls += calls
         return cold
 
@@ -73,73 +73,75 @@
         self._rate_per_s = rate_per_s * scenario.rate_factor
         self._tick_s = tick_s
         self._rng = scenario.rng
-        self._totals: Totals = {
-            (version, route): RouteCounts() for version in (OLD, NEW) for route, _ in ROUTES
+        self._totals: CountsByVersionRoute = {
+            (version, route): RouteCounts()
+            for version in (OLD_VERSION, NEW_VERSION)
+            for route, _ in ROUTES
         }
-        second = SECOND_TARGET_AT * scenario.span_s
-        self._targets = [_NewTarget(0.0), _NewTarget(second)][:NEW_TARGETS]
+        second_ready_s = SECOND_TARGET_READY_FRACTION * scenario.span_s
+        self._targets = [_NewTarget(0.0), _NewTarget(second_ready_s)][:NEW_TARGET_COUNT]
         self._result = RunResult()
 
-    def finish(self) -> RunResult:
+    def run_to_end(self) -> RunResult:
         """Run to the end of the move and return what became of it."""
         result = self._result
-        seen = {key: _copy(counts) for key, counts in self._totals.items()}
+        known_counts = {key: _copy(counts) for key, counts in self._totals.items()}
         tick = 0
         while tick * self._tick_s <= self._scenario.span_s + self._tick_s:
             tick += 1
             now_s = tick * self._tick_s
-            self._calls(now_s)
+            self._draw_calls(now_s)
             # Reports from other nodes come one tick late, the own target's counts at once.
             for route, _ in ROUTES:
-                seen[NEW, route] = self._totals[NEW, route]
-            self._policy.tick(seen, now_s)
+                known_counts[NEW_VERSION, route] = self._totals[NEW_VERSION, route]
+            self._policy.tick(known_counts, now_s)
             for route, _ in ROUTES:
-                seen[OLD, route] = _copy(self._totals[OLD, route])
-            if self._policy.taken_back:
+                known_counts[OLD_VERSION, route] = _copy(self._totals[OLD_VERSION, route])
+            if self._policy.rolled_back:
                 result.taken_back = True
                 # The other nodes hear of it within a tick.
-                self._calls(now_s + self._tick_s / 2)
+                self._draw_calls(now_s + self._tick_s / 2)
                 break
-            if self._policy.done:
+            if self._policy.completed:
                 result.done_on_time = now_s <= self._scenario.span_s
                 break
         result.reason = self._policy.reason
         return result
 
-    def _calls(self, now_s: float) -> None:
-        share = self._policy.share_permille
-        rate = self._rate_per_s * self._scenario.load(now_s)
-        for route, part in ROUTES:
-            calls = poisson(self._rng, rate * part * self._tick_s)
-            new_calls = binomial(self._rng, calls, share / 1000)
+    def _draw_calls(self, now_s: float) -> None:
+        share_permille = self._policy.share_permille
+        rate = self._rate_per_s * self._scenario.load_factor(now_s)
+        for route, route_fraction in ROUTES:
+            calls = draw_poisson(self._rng, rate * route_fraction * self._tick_s)
+            new_calls = draw_binomial(self._rng, calls, share_permille / 1000)
             self._result.calls += calls
-            old = self._scenario.old(now_s, route)
-            self._observe(self._totals[OLD, route], old, calls - new_calls)
+            old_outcome = self._scenario.old_outcome(now_s, route)
+            self._observe(self._totals[OLD_VERSION, route], old_outcome, calls - new_calls)
             if new_calls:
-                self._new_calls(now_s, route, new_calls, share)
+                self._draw_new_calls(now_s, route, new_calls, share_permille)
 
-    def _new_calls(self, now_s: float, route: str, calls: int, share: int) -> None:
-        outcome = self._scenario.new(now_s, route, share)
-        if self._scenario.bad and self._scenario.is_faulty(now_s, share):
+    def _draw_new_calls(self, now_s: float, route: str, calls: int, share_permille: int) -> None:
+        outcome = self._scenario.new_outcome(now_s, route, share_permille)
+        if self._scenario.bad and self._scenario.is_faulty(now_s, share_permille):
             self._result.bad_calls += calls
             self._result.last_new_call_s = now_s
             if self._result.fault_seen_s is None:
                 self._result.fault_seen_s = now_s
-        counts = self._totals[NEW, route]
-        for target, count in self._spread(now_s, calls):
+        counts = self._totals[NEW_VERSION, route]
+        for target, count in self._split_over_targets(now_s, calls):
             if not count:
                 continue
             warming = [target.warm_up.count_call(now_s) for _ in range(count)]
-            met = outcome
+            target_outcome = outcome
             if self._scenario.cold_start and target.is_cold(now_s, count):
-                met = Outcome(outcome.errors, COLD)
-            self._observe(counts, met, warming.count(False))
-            self._observe(counts, met, warming.count(True), warming=True)
+                target_outcome = Outcome(outcome.errors, COLD_LATENCY)
+            self._observe(counts, target_outcome, warming.count(False))
+            self._observe(counts, target_outcome, warming.count(True), warming=True)
 
-    def _spread(self, now_s: float, calls: int) -> t.Iterator[tuple[_NewTarget, int]]:
+    def _split_over_targets(self, now_s: float, calls: int) -> t.Iterator[tuple[_NewTarget, int]]:
         ready = [target for target in self._targets if target.ready_at_s <= now_s]
         for i, target in enumerate(ready):
-            count = binomial(self._rng, calls, 1 / (len(ready) - i))
+            count = draw_binomial(self._rng, calls, 1 / (len(ready) - i))
             calls -= count
             yield target, count
 
@@ -149,10 +151,10 @@
         if not calls:
             return
         counts.calls += calls
-        counts.errors += binomial(self._rng, calls, outcome.errors)
+        counts.errors += draw_binomial(self._rng, calls, outcome.errors)
         if warming or not self._policy.uses_latency:
             return
-        for bucket, count in latencies(self._rng, calls, outcome.latency):
+        for bucket, count in draw_latencies(self._rng, calls, outcome.latency):
             counts.latency_buckets[bucket] += count
 
 
@@ -161,7 +163,7 @@
 
 
 def run_once(
-    kind: type[Scenario],
+    scenario_type: type[Scenario],
     policy: t.Callable[[float], Policy],
     rate_per_s: float,
     span_s: float,
@@ -169,5 +171,5 @@
     seed: str,
 ) -> RunResult:
     """Run one seeded scenario under one policy."""
-    scenario = kind(random.Random(seed), span_s)
-    return Run(scenario, policy(span_s), rate_per_s, tick_s).finish()
+    scenario = scenario_type(random.Random(seed), span_s)
+    return Run(scenario, policy(span_s), rate_per_s, tick_s).run_to_end()
--- a/benchmarks/move_model/scenarios.py
+++ b/benchmarks/move_model/scenarios.py
@@ -4,28 +4,30 @@
 import typing as t
 from dataclasses import dataclass
 
-from benchmarks.move_model.draws import LatencyParts
-from benchmarks.move_model.draws import latency_parts
+from benchmarks.move_model.draws import LatencyDistribution
+from benchmarks.move_model.draws import latency_distribution
 
 ROUTES: t.Final = (("/balances", 0.6), ("/entries", 0.3), ("/yearly", 0.1))
 FAULTY_ROUTE = "/yearly"
-BASE_ERRORS = 0.005
-LOAD_SHARE_PERMILLE = 400
+BASE_ERROR_RATE = 0.005
+LOAD_FAULT_SHARE_PERMILLE = 400
 """Share of calls from which a fault that needs load shows."""
 
-NORMAL = latency_parts(1.0)
-BUSY = latency_parts(2.0)
-COLD = latency_parts(8.0)
-TAILED = latency_parts(1.0, tail_share=0.1, tail_scale=8.0)
-SLOW_BY_FACTOR: t.Final = {factor: latency_parts(factor) for factor in (2.0, 3.0, 8.0)}
+NORMAL_LATENCY = latency_distribution(1.0)
+BUSY_LATENCY = latency_distribution(2.0)
+COLD_LATENCY = latency_distribution(8.0)
+LONG_TAIL_LATENCY = latency_distribution(1.0, tail_fraction=0.1, tail_scale=8.0)
+SLOW_LATENCY_BY_FACTOR: t.Final = {
+    factor: latency_distribution(factor) for factor in (2.0, 3.0, 8.0)
+}
 
 
 @dataclass(slots=True)
 class Outcome:
     """What calls to one version on one route meet in one tick."""
 
-    errors: float = BASE_ERRORS
-    latency: LatencyParts = NORMAL
+    errors: float = BASE_ERROR_RATE
+    latency: LatencyDistribution = NORMAL_LATENCY
 
 
 class Scenario:
@@ -42,7 +44,7 @@
         self.rng = rng
         self.span_s = span_s
 
-    def load(self, now_s: float) -> float:
+    def load_factor(self, now_s: float) -> float:
         """Return the factor on the rate of calls."""
         return 1.0
 
@@ -50,13 +52,13 @@
         """Tell whether the new version's fault shows now."""
         return False
 
-    def old(self, now_s: float, route: str) -> Outcome:
+    def old_outcome(self, now_s: float, route: str) -> Outcome:
         """Return what the old version shows."""
         return Outcome()
 
-    def new(self, now_s: float, route: str, share_permille: int) -> Outcome:
+    def new_outcome(self, now_s: float, route: str, share_permille: int) -> Outcome:
         """Return what the new version shows."""
-        return self.old(now_s, route)
+        return self.old_outcome(now_s, route)
 
 
 class ColdStart(Scenario):
@@ -70,37 +72,37 @@
 
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
-        self._starts_s = rng.uniform(0.15, 0.75) * span_s
-        self._ends_s = self._starts_s + 0.15 * span_s
+        self._start_s = rng.uniform(0.15, 0.75) * span_s
+        self._end_s = self._start_s + 0.15 * span_s
 
-    def load(self, now_s: float) -> float:
-        return 3.0 if self._starts_s <= now_s < self._ends_s else 1.0
+    def load_factor(self, now_s: float) -> float:
+        return 3.0 if self._start_s <= now_s < self._end_s else 1.0
 
-    def old(self, now_s: float, route: str) -> Outcome:
-        if self._starts_s <= now_s < self._ends_s:
-            return Outcome(0.03, BUSY)
+    def old_outcome(self, now_s: float, route: str) -> Outcome:
+        if self._start_s <= now_s < self._end_s:
+            return Outcome(0.03, BUSY_LATENCY)
         return Outcome()
 
 
-class FaultInBoth(Scenario):
+class FaultInBothVersions(Scenario):
     """A dependency fails for a while, under both versions."""
 
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
-        self._starts_s = rng.uniform(0.15, 0.8) * span_s
-        self._ends_s = self._starts_s + 0.1 * span_s
+        self._start_s = rng.uniform(0.15, 0.8) * span_s
+        self._end_s = self._start_s + 0.1 * span_s
 
-    def old(self, now_s: float, route: str) -> Outcome:
-        if self._starts_s <= now_s < self._ends_s:
-            return Outcome(0.4, SLOW_BY_FACTOR[8.0])
+    def old_outcome(self, now_s: float, route: str) -> Outcome:
+        if self._start_s <= now_s < self._end_s:
+            return Outcome(0.4, SLOW_LATENCY_BY_FACTOR[8.0])
         return Outcome()
 
 
-class Noisy(Scenario):
+class NoisyOutcomes(Scenario):
     """Error rates that wander apart at random, and a long tail of latency, in both versions."""
 
-    def old(self, now_s: float, route: str) -> Outcome:
-        return Outcome(self.rng.uniform(0.0, 0.04), TAILED)
+    def old_outcome(self, now_s: float, route: str) -> Outcome:
+        return Outcome(self.rng.uniform(0.0, 0.04), LONG_TAIL_LATENCY)
 
 
 class Fails(Scenario):
@@ -110,15 +112,15 @@
 
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
-        self._errors = rng.choice((0.1, 0.3, 1.0))
+        self._error_rate = rng.choice((0.1, 0.3, 1.0))
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
         return True
 
-    def new(self, now_s: float, route: str, share_permille: int) -> Outcome:
+    def new_outcome(self, now_s: float, route: str, share_permille: int) -> Outcome:
         if not self.is_faulty(now_s, share_permille):
             return Outcome()
-        return Outcome(max(BASE_ERRORS, self._errors))
+        return Outcome(max(BASE_ERROR_RATE, self._error_rate))
 
 
 class Slows(Scenario):
@@ -128,31 +130,31 @@
 
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
-        self._latency = SLOW_BY_FACTOR[rng.choice((2.0, 3.0, 8.0))]
+        self._latency = SLOW_LATENCY_BY_FACTOR[rng.choice((2.0, 3.0, 8.0))]
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
         return True
 
-    def new(self, now_s: float, route: str, share_permille: int) -> Outcome:
+    def new_outcome(self, now_s: float, route: str, share_permille: int) -> Outcome:
         if not self.is_faulty(now_s, share_permille):
             return Outcome()
-        return Outcome(BASE_ERRORS, self._latency)
+        return Outcome(BASE_ERROR_RATE, self._latency)
 
 
-class _Later(Scenario):
+class _DelayedFault(Scenario):
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
-        self._begins_s = rng.uniform(0.1, 0.8) * span_s
+        self._fault_start_s = rng.uniform(0.1, 0.8) * span_s
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
-        return now_s >= self._begins_s
+        return now_s >= self._fault_start_s
 
 
-class FailsLater(_Later, Fails):
+class FailsLater(_DelayedFault, Fails):
     """Failures begin at a random time of the move."""
 
 
-class SlowsLater(_Later, Slows):
+class SlowsLater(_DelayedFault, Slows):
     """Slowness begins at a random time of the move."""
 
 
@@ -160,24 +162,28 @@
     """Failures show only once the new version has much of the load."""
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
-        return share_permille >= LOAD_SHARE_PERMILLE
+        return share_permille >= LOAD_FAULT_SHARE_PERMILLE
 
 
 class SlowsUnderLoad(Slows):
     """Slowness shows only once the new version has much of the load."""
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
-        return share_permille >= LOAD_SHARE_PERMILLE
+        return share_permille >= LOAD_FAULT_SHARE_PERMILLE
 
 
 class FailsOnOneRoute(Fails):
     """Failures on the route with the fewest calls only."""
 
-    def new(self, now_s: float, route: str, share_permille: int) -> Outcome:
-        return super().new(now_s, route, share_permille) if route == FAULTY_ROUTE else Outcome()
+    def new_outcome(self, now_s: float, route: str, share_permille: int) -> Outcome:
+        return (
+            super().new_outcome(now_s, route, share_permille)
+            if route == FAULTY_ROUTE
+            else Outcome()
+        )
 
 
-class LyingHealth(Fails):
+class MisleadingHealthCheck(Fails):
     """Fails at once while its health endpoint claims to be well; health isn't read."""
 
 
@@ -197,8 +203,8 @@
     "good": Scenario,
     "good, cold start": ColdStart,
     "good, load burst": LoadBurst,
-    "good, fault in both": FaultInBoth,
-    "good, noisy": Noisy,
+    "good, fault in both": FaultInBothVersions,
+    "good, noisy": NoisyOutcomes,
     "good, few calls": FewCallsGood,
     "fails at once": Fails,
     "slows at once": Slows,
@@ -207,6 +213,6 @@
     "fails under load": FailsUnderLoad,
     "slows under load": SlowsUnderLoad,
     "fails on one route": FailsOnOneRoute,
-    "fails, lying health": LyingHealth,
+    "fails, lying health": MisleadingHealthCheck,
     "fails, few calls": FewCallsFails,
 }
--- a/benchmarks/moves.py
+++ b/benchmarks/moves.py
@@ -44,10 +44,15 @@
 def measure(scenario: str, rate: float, policy: str, runs: int, seed: int) -> Row:
     """Run one row."""
     span_s, tick_s = SPAN_AND_TICK_BY_RATE[rate]
-    kind = SCENARIOS_BY_NAME[scenario]
+    scenario_type = SCENARIOS_BY_NAME[scenario]
     results = [
         run_once(
-            kind, POLICIES_BY_NAME[policy], rate, span_s, tick_s, f"{seed}/{scenario}/{rate}/{i}"
+            scenario_type,
+            POLICIES_BY_NAME[policy],
+            rate,
+            span_s,
+            tick_s,
+            f"{seed}/{scenario}/{rate}/{i}",
         )
         for i in range(runs)
     ]
@@ -59,7 +64,7 @@
         rate,
         policy,
         runs,
-        kind.bad,
+        scenario_type.bad,
         statistics.fmean(r.done_on_time for r in results),
         statistics.fmean(r.taken_back for r in results),
         statistics.fmean(bad_calls),
@@ -67,11 +72,11 @@
         sum(bad_calls) / max(1, calls),
         statistics.fmean(stops) if stops else 0.0,
         _p99(stops),
-        _wrong_reasons(results, kind.bad),
+        _unexpected_reasons(results, scenario_type.bad),
     )
 
 
-def _wrong_reasons(results: list[RunResult], bad: bool) -> list[str]:
+def _unexpected_reasons(results: list[RunResult], bad: bool) -> list[str]:
     """Return a few reasons of outcomes that aren't the wanted ones."""
     return [r.reason for r in results if r.taken_back is not bad][:3]
 
@@ -80,7 +85,7 @@
     return sorted(values)[int(0.99 * (len(values) - 1))] if values else 0.0
 
 
-def _line(row: Row) -> str:
+def _format_row(row: Row) -> str:
     return (
         f"{row.scenario:<22}{row.rate_per_s:>6g}  {row.policy:<15}"
         f"{100 * row.on_time:>8.1f}{100 * row.taken_back:>8.1f}"
@@ -123,7 +128,7 @@
         with concurrent.futures.ProcessPoolExecutor(self.workers) as pool:
             rows = []
             for row in pool.map(measure, *zip(*jobs, strict=True)):
-                print(_line(row), flush=True)
+                print(_format_row(row), flush=True)
                 rows.append(row)
         seconds = time.monotonic() - started_at
         print(f"{self.runs} runs a row, seed {self.seed}, {seconds:.0f} s")
