--- a/benchmarks/bare_proxy.py
+++ b/benchmarks/bare_proxy.py
@@ -10,7 +10,7 @@
 import aiohttp
 from aiohttp import web
 
-PASSED_HEADERS = ("x-request-id", "x-tenant")
+FORWARDED_HEADERS = ("x-request-id", "x-tenant")
 
 
 async def serve(port: int, target_url: str) -> None:
@@ -19,17 +19,17 @@
 
         async def handle(request: web.BaseRequest) -> web.Response:
             body = await request.read()
-            headers = {name: request.headers[name] for name in PASSED_HEADERS}
+            headers = {name: request.headers[name] for name in FORWARDED_HEADERS}
             url = target_url + request.raw_path
-            async with session.request(request.method, url, headers=headers, data=body) as answer:
-                return web.Response(status=answer.status, body=await answer.read())
+            async with session.request(request.method, url, headers=headers, data=body) as response:
+                return web.Response(status=response.status, body=await response.read())
 
-        stopping = asyncio.Event()
-        asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopping.set)
+        stop_requested = asyncio.Event()
+        asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop_requested.set)
         runner = web.ServerRunner(web.Server(handle, access_log=None))
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", port).start()
-        await stopping.wait()
+        await stop_requested.wait()
         await runner.cleanup()
 
 
--- a/benchmarks/call_faults.py
+++ b/benchmarks/call_faults.py
@@ -23,7 +23,7 @@
 
 WORK_MS = 20.0
 SLOTS = 20
-GATEKEEPERS = 4
+SERVING_NODES = 4
 FAULT_AT_S = 2.0
 PAUSE_S = 4.0
 SETTLE_S = 3.0
@@ -69,7 +69,7 @@
     """Strike with one fault after the other, each under load."""
     behaviour = {"work_ms": WORK_MS}
     ingress = fleet.add_pair("plots", "v1", SLOTS, behaviour)
-    gatekeepers = [fleet.add_pair("payments", "v1", SLOTS, behaviour) for _ in range(GATEKEEPERS)]
+    serving = [fleet.add_pair("payments", "v1", SLOTS, behaviour) for _ in range(SERVING_NODES)]
     document = {
         "services": {"plots": {"version": "v1"}, "payments": {"version": "v1"}},
         "routes": {"/payments": {"service": "payments"}},
@@ -77,18 +77,18 @@
     await asyncio.to_thread(fleet.publish, document)
     await fleet.wait_until_answered([pair.caller_url + "/payments/7" for pair in fleet.pairs])
     await asyncio.sleep(SETTLE_S)
-    for number, fault in enumerate(_faults(ingress, gatekeepers)):
-        report.faults.append(await _measure_fault(fault, report, report.seed * 100 + number))
+    for index, fault in enumerate(_faults(ingress, serving)):
+        report.faults.append(await _measure_fault(fault, report, report.seed * 100 + index))
         await asyncio.sleep(SETTLE_S)
 
 
-def _faults(ingress: Pair, gatekeepers: list[Pair]) -> list[Fault]:
-    leaving, paused, dying, staying = gatekeepers
+def _faults(ingress: Pair, serving: list[Pair]) -> list[Fault]:
+    leaving, paused, dying, staying = serving
     return [
-        Fault("none", lambda: None, [ingress], gatekeepers),
-        Fault("gatekeeper leaves", leaving.node.terminate, [ingress], gatekeepers),
-        Fault("gatekeeper pauses", lambda: _pause(paused), [ingress], gatekeepers),
-        Fault("gatekeeper dies", dying.node.kill, [ingress], gatekeepers),
+        Fault("none", lambda: None, [ingress], serving),
+        Fault("gatekeeper leaves", leaving.node.terminate, [ingress], serving),
+        Fault("gatekeeper pauses", lambda: _pause(paused), [ingress], serving),
+        Fault("gatekeeper dies", dying.node.kill, [ingress], serving),
         Fault("target dies", paused.target.kill, [ingress], [leaving, dying, staying]),
         Fault("ingress leaves", ingress.node.terminate, [ingress, staying], [staying]),
     ]
--- a/benchmarks/call_processes.py
+++ b/benchmarks/call_processes.py
@@ -13,9 +13,9 @@
 import aiohttp
 import msgspec
 
-READY_S = 30.0
-STOP_S = 30.0
-POLL_S = 0.1
+READY_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.1
 
 
 class Pair(t.NamedTuple):
@@ -34,8 +34,8 @@
     def __init__(self, directory: pathlib.Path, base_port: int) -> None:
         self._directory = directory
         self.base_port = base_port
-        self._binaries = pathlib.Path(sys.executable).parent
-        self._started: list[subprocess.Popen[bytes]] = []
+        self._program_directory = pathlib.Path(sys.executable).parent
+        self._processes: list[subprocess.Popen[bytes]] = []
         self.pairs: list[Pair] = []
         self.log_url = f"http://127.0.0.1:{base_port}"
         self._start("log", "bulrushflow-standin-log", "--port", str(base_port))
@@ -79,48 +79,48 @@
         """Publish services and routes."""
         path = self._directory / "configuration.json"
         path.write_text(json.dumps(document), encoding="utf-8")
-        command = [str(self._binaries / "bulrushflow"), "publish", str(path)]
+        command = [str(self._program_directory / "bulrushflow"), "publish", str(path)]
         self._wait_for_log()
         urls = ["--log", self.log_url, "--node", self.pairs[0].operator_url]
         subprocess.run([*command, *urls], check=True, stdout=subprocess.DEVNULL)
 
     async def wait_until_answered(self, urls: list[str]) -> None:
         """Wait until every URL answers with status 200."""
-        async with aiohttp.ClientSession() as session, asyncio.timeout(READY_S):
+        async with aiohttp.ClientSession() as session, asyncio.timeout(READY_TIMEOUT_S):
             for url in urls:
-                answered = await _is_answered(session, url)
-                while not answered:
-                    await asyncio.sleep(POLL_S)
-                    answered = await _is_answered(session, url)
+                is_answered = await _is_answered(session, url)
+                while not is_answered:
+                    await asyncio.sleep(POLL_INTERVAL_S)
+                    is_answered = await _is_answered(session, url)
 
     def stop(self) -> int:
         """Stop every process, the latest first; return how many ended badly."""
-        bad = 0
-        for process in reversed(self._started):
+        failed = 0
+        for process in reversed(self._processes):
             process.send_signal(signal.SIGTERM)
             try:
-                bad += process.wait(STOP_S) != 0
+                failed += process.wait(STOP_TIMEOUT_S) != 0
             except subprocess.TimeoutExpired:
                 process.kill()
-                bad += 1
-        return bad
+                failed += 1
+        return failed
 
     def _wait_for_log(self) -> None:
-        ends_at = time.monotonic() + READY_S
-        while time.monotonic() < ends_at:
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < deadline:
             try:
-                socket.create_connection(("127.0.0.1", self.base_port), POLL_S).close()
+                socket.create_connection(("127.0.0.1", self.base_port), POLL_INTERVAL_S).close()
                 return
             except OSError:
-                time.sleep(POLL_S)
+                time.sleep(POLL_INTERVAL_S)
 
     def _start(self, name: str, program: str, *arguments: str) -> subprocess.Popen[bytes]:
-        return self._start_command(name, [str(self._binaries / program), *arguments])
+        return self._start_command(name, [str(self._program_directory / program), *arguments])
 
     def _start_command(self, name: str, command: list[str]) -> subprocess.Popen[bytes]:
         with (self._directory / f"{name}.log").open("wb") as output:
             process = subprocess.Popen(command, stdout=output, stderr=output)
-        self._started.append(process)
+        self._processes.append(process)
         return process
 
 
@@ -142,12 +142,12 @@
 def print_table(rows: t.Sequence[msgspec.Struct]) -> None:
     """Print rows of one kind as a table."""
     names = rows[0].__struct_fields__
-    lines = [names, *[[_cell(getattr(row, name)) for name in names] for row in rows]]
-    widths = [max(len(line[i]) for line in lines) for i in range(len(names))]
-    for line in lines:
-        print("  ".join(cell.rjust(width) for cell, width in zip(line, widths, strict=True)))
+    table = [names, *[[_format_cell(getattr(row, name)) for name in names] for row in rows]]
+    widths = [max(len(cells[i]) for cells in table) for i in range(len(names))]
+    for cells in table:
+        print("  ".join(cell.rjust(width) for cell, width in zip(cells, widths, strict=True)))
     print()
 
 
-def _cell(value: t.Any) -> str:
+def _format_cell(value: t.Any) -> str:
     return f"{value:.2f}" if isinstance(value, float) else str(value)
--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -24,14 +24,14 @@
 from bulrushflow.standins.load import compare_runs
 from bulrushflow.standins.load import run_load
 
-ADDED_TARGET_MS = 0.48
+ADDED_P99_LIMIT_MS = 0.48
 ROUTE_TIMEOUT_MS = 500
 LATENCY_SLOTS = 20
 LATENCY_WORK_MS = 1.0
 OVERLOAD_SLOTS = 5
 OVERLOAD_WORK_MS = 50.0
 OVERLOAD_PAIRS = 3
-MULTIPLES = (0.5, 1.0, 2.0, 4.0)
+LOAD_MULTIPLES = (0.5, 1.0, 2.0, 4.0)
 SETTLE_S = 3.0
 
 
@@ -95,23 +95,25 @@
 async def measure_added(fleet: Fleet, report: Report) -> None:
     """Compare calls sent straight to a target with calls through nodes, in alternating rounds."""
     behaviour = {"work_ms": LATENCY_WORK_MS}
-    other = fleet.add_pair("plots", "v1", LATENCY_SLOTS, behaviour)
-    own = fleet.add_pair("statements", "v1", LATENCY_SLOTS, behaviour)
+    ingress = fleet.add_pair("plots", "v1", LATENCY_SLOTS, behaviour)
+    serving = fleet.add_pair("statements", "v1", LATENCY_SLOTS, behaviour)
     await _publish(fleet, ["plots", "statements"])
-    bare_url = fleet.add_bare_proxy(fleet.base_port + 5, own.target_url)
-    urls = [url + "/statements/7" for url in (own.caller_url, other.caller_url, bare_url)]
+    bare_url = fleet.add_bare_proxy(fleet.base_port + 5, serving.target_url)
+    urls = [url + "/statements/7" for url in (serving.caller_url, ingress.caller_url, bare_url)]
     await fleet.wait_until_answered(urls)
     await asyncio.sleep(SETTLE_S)
     ways = [
-        Way("direct", own.target_url, _histogram()),
+        Way("direct", serving.target_url, _histogram()),
         Way("bare proxy", bare_url, _histogram()),
-        Way("own target", own.caller_url, _histogram()),
-        Way("forwarded", other.caller_url, _histogram()),
+        Way("own target", serving.caller_url, _histogram()),
+        Way("forwarded", ingress.caller_url, _histogram()),
     ]
-    idle = await _idle_cpu(own, other, report.seconds)
-    for number in range(report.rounds):
+    idle_cpu_s = await _idle_cpu_seconds(serving, ingress, report.seconds)
+    for round_number in range(report.rounds):
         for way in ways:
-            await _measure_way(way, own, other, report, report.seed * 1000 + number, idle)
+            await _measure_way(
+                way, serving, ingress, report, report.seed * 1000 + round_number, idle_cpu_s
+            )
     report.added = _added_rows(ways)
 
 
@@ -121,7 +123,7 @@
     capacity = len(pairs) * OVERLOAD_SLOTS / (OVERLOAD_WORK_MS / 1000)
     urls = [pair.caller_url if through_nodes else pair.target_url for pair in pairs]
     way = "nodes" if through_nodes else "round robin"
-    for multiple in MULTIPLES:
+    for multiple in LOAD_MULTIPLES:
         calls = await run_load(
             urls,
             ["/payments/7"],
@@ -137,22 +139,27 @@
 
 
 async def _measure_way(
-    way: Way, own: Pair, other: Pair, report: Report, seed: int, idle: tuple[float, float]
+    way: Way,
+    serving: Pair,
+    ingress: Pair,
+    report: Report,
+    seed: int,
+    idle_cpu_s: tuple[float, float],
 ) -> None:
-    before = cpu_seconds(other.node), cpu_seconds(own.node)
+    cpu_before = cpu_seconds(ingress.node), cpu_seconds(serving.node)
     calls = await run_load([way.url], ["/statements/7"], report.rate_per_s, report.seconds, seed)
-    after = cpu_seconds(other.node), cpu_seconds(own.node)
-    way.ingress_cpu_s += after[0] - before[0] - idle[0]
-    way.gatekeeper_cpu_s += after[1] - before[1] - idle[1]
+    cpu_after = cpu_seconds(ingress.node), cpu_seconds(serving.node)
+    way.ingress_cpu_s += cpu_after[0] - cpu_before[0] - idle_cpu_s[0]
+    way.gatekeeper_cpu_s += cpu_after[1] - cpu_before[1] - idle_cpu_s[1]
     way.histogram.add(calls.answered_histogram)
     way.calls += calls.summary.calls
-    way.broken += _broken(calls.summary)
+    way.broken += _broken_calls(calls.summary)
 
 
-async def _idle_cpu(own: Pair, other: Pair, seconds: float) -> tuple[float, float]:
-    before = cpu_seconds(other.node), cpu_seconds(own.node)
+async def _idle_cpu_seconds(serving: Pair, ingress: Pair, seconds: float) -> tuple[float, float]:
+    cpu_before = cpu_seconds(ingress.node), cpu_seconds(serving.node)
     await asyncio.sleep(seconds)
-    return cpu_seconds(other.node) - before[0], cpu_seconds(own.node) - before[1]
+    return cpu_seconds(ingress.node) - cpu_before[0], cpu_seconds(serving.node) - cpu_before[1]
 
 
 async def _publish(fleet: Fleet, services: list[str]) -> None:
@@ -196,13 +203,13 @@
         unknown=summary.unknown,
         unanswered=summary.lost,
         late_sends=summary.late_sends,
-        broken=_broken(summary) - summary.lost,
+        broken=_broken_calls(summary) - summary.lost,
     )
 
 
-def _broken(summary: Summary) -> int:
-    parts = (summary.lost, summary.doubled, summary.crossed, summary.cut, summary.false_not_run)
-    return sum(parts)
+def _broken_calls(summary: Summary) -> int:
+    counts = (summary.lost, summary.doubled, summary.crossed, summary.cut, summary.false_not_run)
+    return sum(counts)
 
 
 def _histogram() -> HdrHistogram:
@@ -239,7 +246,7 @@
         for rows in (report.added, report.goodput):
             if rows:
                 print_table(rows)
-        print(f"target: added_p99_ms at most {ADDED_TARGET_MS}; goodput at 4 at least that at 1")
+        print(f"target: added_p99_ms at most {ADDED_P99_LIMIT_MS}; goodput at 4 at least that at 1")
         if self.json is not None:
             self.json.write_bytes(msgspec.json.encode(report))
         if report.ended_badly:
