--- a/benchmarks/move_model/__init__.py
+++ b/benchmarks/move_model/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded call outcomes for moves, and the policies compared on them."""
+"""Model of call outcomes during a rollout, and the rollout policies compared on it."""
--- a/benchmarks/move_model/draws.py
+++ b/benchmarks/move_model/draws.py
@@ -1,4 +1,4 @@
-"""Random draws of call outcomes."""
+"""Random draws of call counts and latencies."""
 
 import math
 import random
@@ -9,11 +9,11 @@
 MEDIAN_LATENCY_S = 0.010
 LATENCY_LOG_SIGMA = 0.5
 MIN_NORMAL_VARIANCE = 8.0
-"""Variance from which a binomial draw is approximated by a normal one."""
+"""Variance above which a binomial draw is approximated by a normal one."""
 
 
 def draw_binomial(rng: random.Random, trials: int, probability: float) -> int:
-    """Draw the number of successes."""
+    """Return the number of successes in ``trials``."""
     if trials <= 0 or probability <= 0:
         return 0
     if probability >= 1:
@@ -24,7 +24,7 @@
     if variance > MIN_NORMAL_VARIANCE:
         successes = round(rng.gauss(trials * probability, math.sqrt(variance)))
         return max(0, min(trials, successes))
-    # Jumps from success to success.
+    # Gaps between successes are geometric: draw the gaps instead of every trial.
     log_failure = math.log1p(-probability)
     successes = 0
     position = math.floor(math.log(1.0 - rng.random()) / log_failure)
@@ -35,7 +35,7 @@
 
 
 def draw_poisson(rng: random.Random, mean: float) -> int:
-    """Draw a Poisson count."""
+    """Return a Poisson-distributed count; above a mean of 50 by the normal approximation."""
     if mean > 50:
         return max(0, round(rng.gauss(mean, math.sqrt(mean))))
     threshold = math.exp(-mean)
@@ -48,13 +48,20 @@
 
 
 LatencyDistribution = tuple[tuple[int, float], ...]
-"""Bucket indices with the probability of each, given that no earlier one was drawn."""
+"""Bucket indices, each with its probability given that no earlier bucket was drawn."""
 
 
 def latency_distribution(
     scale: float, tail_fraction: float = 0.0, tail_scale: float = 1.0
 ) -> LatencyDistribution:
-    """Return a log-normal latency over the sketch's buckets, with a part of calls slower."""
+    """Return a log-normal latency distribution over the histogram's buckets.
+
+    Buckets with a probability below 0.0001 are left out.
+
+    :param scale: factor on the median.
+    :param tail_fraction: fraction of calls in the slow tail.
+    :param tail_scale: factor on the median of the tail.
+    """
     mixture = [(1 - tail_fraction, scale), (tail_fraction, tail_scale)]
     probabilities = []
     cdf_below = 0.0
@@ -79,7 +86,7 @@
 def draw_latencies(
     rng: random.Random, calls: int, distribution: LatencyDistribution
 ) -> t.Iterator[tuple[int, int]]:
-    """Draw the buckets of some calls, as bucket index and count."""
+    """Draw latencies of ``calls`` calls; yield index and count of each non-empty bucket."""
     for index, probability in distribution:
         if not calls:
             return
--- a/benchmarks/move_model/policies.py
+++ b/benchmarks/move_model/policies.py
@@ -1,4 +1,4 @@
-"""The policies compared: this project's decisions, a fixed ramp, and no check at all."""
+"""The rollout policies compared: the nodes' controller, a fixed ramp with and without a check."""
 
 import typing as t
 
@@ -21,23 +21,24 @@
 
 
 class Policy(t.Protocol):
-    """What decides on the share of the new version."""
+    """Decides on the new version's traffic share."""
 
     uses_latency: bool
+    """Whether the model draws latencies for this policy."""
     rolled_back: bool
     completed: bool
     reason: str
 
     @property
     def share_permille(self) -> int:
-        """The share of calls that the new version gets."""
+        """The new version's traffic share."""
 
     def tick(self, totals: CountsByVersionRoute, now_s: float) -> None:
-        """Decide on cumulative counts."""
+        """Update the decision from cumulative counts."""
 
 
 class ControllerPolicy:
-    """The decision code as the nodes run it."""
+    """The rollout controller that the nodes run."""
 
     uses_latency = True
 
@@ -51,7 +52,7 @@
 
     @property
     def share_permille(self) -> int:
-        """The share that nodes would serve."""
+        """The traffic share in the shared state, which nodes route by."""
         return self._shared.share_permille(ROLLOUT_OFFSET)
 
     def tick(self, totals: CountsByVersionRoute, now_s: float) -> None:
@@ -70,7 +71,10 @@
 
 
 class FixedRampPolicy:
-    """Five fixed steps, with a threshold on the new version's error rate in each."""
+    """Five fixed steps, each with a threshold on the new version's error rate.
+
+    :param check_errors: whether to roll back above :data:`RAMP_MAX_ERROR_RATE`.
+    """
 
     uses_latency = False
 
@@ -86,7 +90,7 @@
 
     @property
     def share_permille(self) -> int:
-        """The share of the present step."""
+        """The traffic share of the current step."""
         return self._share_permille
 
     def tick(self, totals: CountsByVersionRoute, now_s: float) -> None:
@@ -107,17 +111,17 @@
 
 
 def controller_policy(span_s: float) -> Policy:
-    """Return the decision code."""
+    """Return the policy that runs the nodes' controller."""
     return ControllerPolicy(span_s)
 
 
 def fixed_ramp_policy(span_s: float) -> Policy:
-    """Return the ramp with its threshold."""
+    """Return the fixed ramp with its error threshold."""
     return FixedRampPolicy(span_s)
 
 
 def unchecked_ramp_policy(span_s: float) -> Policy:
-    """Return the ramp without its threshold."""
+    """Return the fixed ramp without an error threshold."""
     return FixedRampPolicy(span_s, check_errors=False)
 
 
--- a/benchmarks/move_model/run.py
+++ b/benchmarks/move_model/run.py
@@ -1,4 +1,4 @@
-"""One run: outcomes drawn tick by tick in virtual time and fed to a policy."""
+"""Simulates one rollout: draws call outcomes tick by tick and passes the counts to a policy."""
 
 import random
 import typing as t
@@ -22,12 +22,16 @@
 COLD_START_CALLS = 5
 NEW_TARGET_COUNT = 2
 SECOND_TARGET_READY_FRACTION = 0.4
-"""Part of the move's time at which the second new target becomes ready."""
+"""Fraction of the rollout's duration after which the second new target is ready."""
 
 
 @dataclass(slots=True)
 class RunResult:
-    """What became of one run."""
+    """Outcome of one run.
+
+    ``bad_calls``: calls to the new version while its fault shows. ``fault_seen_s`` and
+    ``last_new_call_s``: times of the first and the last tick with such calls.
+    """
 
     done_on_time: bool = False
     taken_back: bool = False
@@ -39,14 +43,18 @@
 
     @property
     def stop_s(self) -> float | None:
-        """Time from the first call that the fault could meet to the last new call."""
+        """Seconds from the first to the last call to the faulty version; ``None`` without any."""
         if self.fault_seen_s is None or self.last_new_call_s is None:
             return None
         return self.last_new_call_s - self.fault_seen_s
 
 
 class _NewTarget:
-    """One target of the new version, with its cold start."""
+    """A target of the new version.
+
+    It is cold for its first :data:`COLD_START_CALLS` calls and :data:`COLD_START_S` seconds,
+    whichever ends later.
+    """
 
     def __init__(self, ready_at_s: float) -> None:
         self.ready_at_s = ready_at_s
@@ -63,7 +71,7 @@
 
 
 class Run:
-    """Draws a scenario's calls and lets a policy set the share."""
+    """Draws a scenario's calls while a policy sets the traffic share."""
 
     def __init__(
         self, scenario: Scenario, policy: Policy, rate_per_s: float, tick_s: float
@@ -83,7 +91,7 @@
         self._result = RunResult()
 
     def run_to_end(self) -> RunResult:
-        """Run to the end of the move and return what became of it."""
+        """Run until the rollout completes, rolls back or passes its deadline."""
         result = self._result
         known_counts = {key: _copy(counts) for key, counts in self._totals.items()}
         tick = 0
@@ -91,7 +99,7 @@
             tick += 1
             now_s = tick * self._tick_s
             self._draw_calls(now_s)
-            # Reports from other nodes come one tick late, the own target's counts at once.
+            # The driving node has its own target's counts at once and peers' counts a tick late.
             for route, _ in ROUTES:
                 known_counts[NEW_VERSION, route] = self._totals[NEW_VERSION, route]
             self._policy.tick(known_counts, now_s)
@@ -99,7 +107,7 @@
                 known_counts[OLD_VERSION, route] = _copy(self._totals[OLD_VERSION, route])
             if self._policy.rolled_back:
                 result.taken_back = True
-                # The other nodes hear of it within a tick.
+                # The rollback reaches the other nodes within one tick.
                 self._draw_calls(now_s + self._tick_s / 2)
                 break
             if self._policy.completed:
@@ -170,6 +178,10 @@
     tick_s: float,
     seed: str,
 ) -> RunResult:
-    """Run one seeded scenario under one policy."""
+    """Run one seeded scenario under one policy.
+
+    :param span_s: seconds from the rollout order to its deadline.
+    :param tick_s: seconds between two decisions.
+    """
     scenario = scenario_type(random.Random(seed), span_s)
     return Run(scenario, policy(span_s), rate_per_s, tick_s).run_to_end()
--- a/benchmarks/move_model/scenarios.py
+++ b/benchmarks/move_model/scenarios.py
@@ -1,4 +1,4 @@
-"""The rows of the table: what calls to the old and the new version meet, moment by moment."""
+"""Scenarios: error rates and latencies of the old and the new version over time."""
 
 import random
 import typing as t
@@ -11,7 +11,7 @@
 FAULTY_ROUTE = "/yearly"
 BASE_ERROR_RATE = 0.005
 LOAD_FAULT_SHARE_PERMILLE = 400
-"""Share of calls from which a fault that needs load shows."""
+"""Traffic share from which a fault that depends on load shows."""
 
 NORMAL_LATENCY = latency_distribution(1.0)
 BUSY_LATENCY = latency_distribution(2.0)
@@ -24,16 +24,16 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What calls to one version on one route meet in one tick."""
+    """Error rate and latencies of the calls to one version on one route in one tick."""
 
     errors: float = BASE_ERROR_RATE
     latency: LatencyDistribution = NORMAL_LATENCY
 
 
 class Scenario:
-    """One run's conditions; subclasses change what the base, a good version, shows.
+    """Conditions of one run; the base class has a healthy new version, subclasses differ.
 
-    :param span_s: seconds from the move's statement to its deadline.
+    :param span_s: seconds from the rollout order to its deadline.
     """
 
     bad = False
@@ -45,30 +45,30 @@
         self.span_s = span_s
 
     def load_factor(self, now_s: float) -> float:
-        """Return the factor on the rate of calls."""
+        """Return the factor on the call rate."""
         return 1.0
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
-        """Tell whether the new version's fault shows now."""
+        """Return whether the new version's fault shows now."""
         return False
 
     def old_outcome(self, now_s: float, route: str) -> Outcome:
-        """Return what the old version shows."""
+        """Return the outcome of calls to the old version."""
         return Outcome()
 
     def new_outcome(self, now_s: float, route: str, share_permille: int) -> Outcome:
-        """Return what the new version shows."""
+        """Return the outcome of calls to the new version."""
         return self.old_outcome(now_s, route)
 
 
 class ColdStart(Scenario):
-    """Each new target is slow for its first seconds and calls."""
+    """Each target of the new version is slow during its cold start."""
 
     cold_start = True
 
 
 class LoadBurst(Scenario):
-    """Three times the calls for a while, with both versions slower and shedding some."""
+    """Triple load for a while; both versions are slower and fail 3 % of calls."""
 
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
@@ -85,7 +85,7 @@
 
 
 class FaultInBothVersions(Scenario):
-    """A dependency fails for a while, under both versions."""
+    """A dependency of both versions fails for a while."""
 
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
@@ -99,14 +99,14 @@
 
 
 class NoisyOutcomes(Scenario):
-    """Error rates that wander apart at random, and a long tail of latency, in both versions."""
+    """Both versions have a long latency tail and error rates drawn anew for each tick and route."""
 
     def old_outcome(self, now_s: float, route: str) -> Outcome:
         return Outcome(self.rng.uniform(0.0, 0.04), LONG_TAIL_LATENCY)
 
 
 class Fails(Scenario):
-    """Part of the new version's calls fail."""
+    """A fixed fraction of the new version's calls fails."""
 
     bad = True
 
@@ -124,7 +124,7 @@
 
 
 class Slows(Scenario):
-    """All of the new version's calls take longer."""
+    """All calls to the new version are slower by a fixed factor."""
 
     bad = True
 
@@ -142,6 +142,8 @@
 
 
 class _DelayedFault(Scenario):
+    """Delays the fault to a random time of the rollout."""
+
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
         self._fault_start_s = rng.uniform(0.1, 0.8) * span_s
@@ -151,29 +153,29 @@
 
 
 class FailsLater(_DelayedFault, Fails):
-    """Failures begin at a random time of the move."""
+    """Failures begin at a random time of the rollout."""
 
 
 class SlowsLater(_DelayedFault, Slows):
-    """Slowness begins at a random time of the move."""
+    """Slowness begins at a random time of the rollout."""
 
 
 class FailsUnderLoad(Fails):
-    """Failures show only once the new version has much of the load."""
+    """Failures show only from a high traffic share on."""
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
         return share_permille >= LOAD_FAULT_SHARE_PERMILLE
 
 
 class SlowsUnderLoad(Slows):
-    """Slowness shows only once the new version has much of the load."""
+    """Slowness shows only from a high traffic share on."""
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
         return share_permille >= LOAD_FAULT_SHARE_PERMILLE
 
 
 class FailsOnOneRoute(Fails):
-    """Failures on the route with the fewest calls only."""
+    """Only the route with the fewest calls fails."""
 
     def new_outcome(self, now_s: float, route: str, share_permille: int) -> Outcome:
         return (
@@ -184,17 +186,17 @@
 
 
 class MisleadingHealthCheck(Fails):
-    """Fails at once while its health endpoint claims to be well; health isn't read."""
+    """Calls fail while the health endpoint reports success; decisions don't use health checks."""
 
 
 class FewCallsGood(Scenario):
-    """A good version with a tenth of the calls."""
+    """A healthy version at a tenth of the call rate."""
 
     rate_factor = 0.1
 
 
 class FewCallsFails(Fails):
-    """A version that fails at once, with a tenth of the calls."""
+    """Calls fail from the start, at a tenth of the call rate."""
 
     rate_factor = 0.1
 
--- a/benchmarks/moves.py
+++ b/benchmarks/moves.py
@@ -1,6 +1,6 @@
-"""Moves measured: seeded scenarios at several call rates, against two baselines.
+"""Benchmark of rollouts: seeded scenarios at several call rates, against two baselines.
 
-Each row gives what the decision code made of a table of call outcomes in virtual time.
+The call outcomes are drawn from a model and the decision code runs in virtual time, without nodes.
 """
 
 import concurrent.futures
@@ -19,12 +19,12 @@
 from benchmarks.move_model.scenarios import SCENARIOS_BY_NAME
 
 SPAN_AND_TICK_BY_RATE: t.Final = {200.0: (120.0, 0.5), 20.0: (300.0, 0.5), 2.0: (900.0, 1.0)}
-"""A move's time and the time between two decisions in seconds, by calls a second."""
+"""Rollout duration and decision interval in seconds, by calls per second."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One scenario at one rate under one policy."""
+    """Results of one scenario at one call rate under one policy, over all its runs."""
 
     scenario: str
     rate_per_s: float
@@ -42,7 +42,10 @@
 
 
 def measure(scenario: str, rate: float, policy: str, runs: int, seed: int) -> Row:
-    """Run one row."""
+    """Run one scenario ``runs`` times and return its row.
+
+    :param rate: calls per second, a key of :data:`SPAN_AND_TICK_BY_RATE`.
+    """
     span_s, tick_s = SPAN_AND_TICK_BY_RATE[rate]
     scenario_type = SCENARIOS_BY_NAME[scenario]
     results = [
@@ -77,7 +80,7 @@
 
 
 def _unexpected_reasons(results: list[RunResult], bad: bool) -> list[str]:
-    """Return a few reasons of outcomes that aren't the wanted ones."""
+    """Return up to three reasons from runs that rolled a good version back or kept a bad one."""
     return [r.reason for r in results if r.taken_back is not bad][:3]
 
 
@@ -97,11 +100,11 @@
 @cappa.command(name="moves")
 @dataclasses.dataclass
 class MovesBenchmark:
-    """Measure moves on seeded scenarios."""
+    """Measure rollouts in seeded scenarios."""
 
-    runs: t.Annotated[int, cappa.Arg(long=True, help="runs a row")] = 500
-    seed: t.Annotated[int, cappa.Arg(long=True, help="seed")] = 1
-    workers: t.Annotated[int, cappa.Arg(long=True, help="processes that run rows")] = 4
+    runs: t.Annotated[int, cappa.Arg(long=True, help="runs per row")] = 500
+    seed: t.Annotated[int, cappa.Arg(long=True, help="seed of the scenarios")] = 1
+    workers: t.Annotated[int, cappa.Arg(long=True, help="worker processes")] = 4
     policy: t.Annotated[list[str], cappa.Arg(long=True, help="only these policies")] = (
         dataclasses.field(default_factory=list)
     )
@@ -109,7 +112,7 @@
         dataclasses.field(default_factory=list)
     )
     rate: t.Annotated[
-        list[float], cappa.Arg(long=True, help="only these rates in calls a second")
+        list[float], cappa.Arg(long=True, help="only these rates in calls per second")
     ] = dataclasses.field(default_factory=list)
     json: t.Annotated[pathlib.Path | None, cappa.Arg(long=True, help="write JSON here")] = None
 
@@ -139,7 +142,7 @@
 
 
 def main() -> None:
-    """Run the measurement."""
+    """Run the benchmark."""
     cappa.invoke(MovesBenchmark)
 
 
