--- a/benchmarks/bare_proxy.py
+++ b/benchmarks/bare_proxy.py
@@ -1,4 +1,4 @@
-"""The least that a hop by aiohttp on both sides costs: a proxy without any decision.
+"""A proxy that only forwards: the minimum cost of a hop with aiohttp as server and client.
 
 Run by ``python -m benchmarks.bare_proxy PORT TARGET_URL`` for :mod:`benchmarks.calls`.
 """
@@ -14,7 +14,7 @@
 
 
 async def serve(port: int, target_url: str) -> None:
-    """Pass every request on to one target until SIGTERM."""
+    """Forward every request to one target until SIGTERM."""
     async with aiohttp.ClientSession(auto_decompress=False) as session:
 
         async def handle(request: web.BaseRequest) -> web.Response:
--- a/benchmarks/call_faults.py
+++ b/benchmarks/call_faults.py
@@ -1,7 +1,7 @@
-"""Counts what callers get while nodes and targets leave, pause and die, on loopback.
+"""Counts the outcomes of calls while nodes and targets stop, pause and crash, on loopback.
 
-Run by ``python -m benchmarks.call_faults``. Each fault hits a load of its own; every call is
-compared with the runs that the targets recorded.
+Run by ``python -m benchmarks.call_faults``. Each fault is injected into a load of its own, and the
+outcome of each call is compared with the executions that the targets recorded.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class FaultRow(msgspec.Struct):
-    """What callers got during one fault."""
+    """Outcomes of the calls during one fault."""
 
     fault: str
     calls: int
@@ -47,7 +47,7 @@
 
 
 class Report(msgspec.Struct):
-    """The whole run, with its settings."""
+    """Settings and results of one benchmark run."""
 
     seed: int
     rate_per_s: float
@@ -57,7 +57,11 @@
 
 @dataclass(slots=True)
 class Fault:
-    """One fault, the nodes that are called, and the targets whose runs can be read afterwards."""
+    """One fault to inject.
+
+    ``callers`` are the pairs whose nodes are called, ``compared`` those whose targets still run
+    afterwards and report their executions.
+    """
 
     name: str
     strike: t.Callable[[], None]
@@ -66,7 +70,7 @@
 
 
 async def measure(fleet: Fleet, report: Report) -> None:
-    """Strike with one fault after the other, each under load."""
+    """Inject the faults one after another, each under load."""
     behaviour = {"work_ms": WORK_MS}
     ingress = fleet.add_pair("plots", "v1", SLOTS, behaviour)
     serving = [fleet.add_pair("payments", "v1", SLOTS, behaviour) for _ in range(SERVING_NODES)]
@@ -128,9 +132,9 @@
 
     seed: t.Annotated[int, cappa.Arg(long=True, help="seed of the calls")] = 1
     rate: t.Annotated[float, cappa.Arg(long=True, help="calls per second")] = 200.0
-    seconds: t.Annotated[float, cappa.Arg(long=True, help="length of each load")] = 8.0
+    seconds: t.Annotated[float, cappa.Arg(long=True, help="seconds per load")] = 8.0
     base_port: t.Annotated[int, cappa.Arg(long=True, help="first TCP port")] = 25200
-    json: t.Annotated[pathlib.Path | None, cappa.Arg(long=True, help="file for results")] = None
+    json: t.Annotated[pathlib.Path | None, cappa.Arg(long=True, help="write JSON here")] = None
 
     def __call__(self) -> None:
         report = Report(self.seed, self.rate, self.seconds)
@@ -145,7 +149,9 @@
         if self.json is not None:
             self.json.write_bytes(msgspec.json.encode(report))
         if any(row.doubled + row.crossed + row.cut + row.false_not_run for row in report.faults):
-            sys.exit("a call was doubled, crossed, cut or falsely refused")
+            sys.exit(
+                "calls were doubled, crossed, cut or falsely refused as not run; see the table"
+            )
 
 
 def main() -> None:
--- a/benchmarks/call_processes.py
+++ b/benchmarks/call_processes.py
@@ -1,4 +1,4 @@
-"""Starts and stops the project's programs on loopback, for benchmarks."""
+"""Starts and stops a log, nodes and targets on loopback for the call benchmarks."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 
 
 class Pair(t.NamedTuple):
-    """A node, and the target beside it."""
+    """A node and its own target, with their URLs."""
 
     node: subprocess.Popen[bytes]
     target: subprocess.Popen[bytes]
@@ -29,7 +29,11 @@
 
 
 class Fleet:
-    """A log, nodes and targets; every process is one that this object started."""
+    """A log, nodes and targets as child processes.
+
+    :param directory: for the nodes' settings and the processes' output.
+    :param base_port: the log's port; the pair of number n uses ports from ``base_port + 10 * n``.
+    """
 
     def __init__(self, directory: pathlib.Path, base_port: int) -> None:
         self._directory = directory
@@ -41,7 +45,10 @@
         self._start("log", "bulrushflow-standin-log", "--port", str(base_port))
 
     def add_pair(self, service: str, version: str, slots: int, behaviour: dict[str, t.Any]) -> Pair:
-        """Start a node and a target."""
+        """Start a node and its target.
+
+        :param behaviour: the target's simulated behaviour, see :mod:`bulrushflow.standins.target`.
+        """
         number = len(self.pairs) + 1
         port = self.base_port + 10 * number
         settings = {
@@ -70,13 +77,16 @@
         return pair
 
     def add_bare_proxy(self, port: int, target_url: str) -> str:
-        """Start a proxy that decides nothing; return its URL."""
+        """Start :mod:`benchmarks.bare_proxy` and return its URL."""
         command = [sys.executable, "-m", "benchmarks.bare_proxy", str(port), target_url]
         self._start_command("bare-proxy", command)
         return f"http://127.0.0.1:{port}"
 
     def publish(self, document: dict[str, t.Any]) -> None:
-        """Publish services and routes."""
+        """Publish a configuration with services and routes.
+
+        :raises subprocess.CalledProcessError: when publishing fails.
+        """
         path = self._directory / "configuration.json"
         path.write_text(json.dumps(document), encoding="utf-8")
         command = [str(self._program_directory / "bulrushflow"), "publish", str(path)]
@@ -85,7 +95,10 @@
         subprocess.run([*command, *urls], check=True, stdout=subprocess.DEVNULL)
 
     async def wait_until_answered(self, urls: list[str]) -> None:
-        """Wait until every URL answers with status 200."""
+        """Wait until every URL responds with status 200.
+
+        :raises TimeoutError: when that takes longer than :data:`READY_TIMEOUT_S`.
+        """
         async with aiohttp.ClientSession() as session, asyncio.timeout(READY_TIMEOUT_S):
             for url in urls:
                 is_answered = await _is_answered(session, url)
@@ -94,7 +107,10 @@
                     is_answered = await _is_answered(session, url)
 
     def stop(self) -> int:
-        """Stop every process, the latest first; return how many ended badly."""
+        """Stop every process, the last started first.
+
+        :return: number of processes that exited with an error or had to be killed.
+        """
         failed = 0
         for process in reversed(self._processes):
             process.send_signal(signal.SIGTERM)
@@ -125,7 +141,7 @@
 
 
 def cpu_seconds(process: subprocess.Popen[bytes]) -> float:
-    """Return the processor time that a process has used."""
+    """Return the processor time in seconds that the main thread of a process has used."""
     path = pathlib.Path(f"/proc/{process.pid}/schedstat")
     return int(path.read_text(encoding="ascii").split()[0]) / 1e9
 
@@ -140,7 +156,7 @@
 
 
 def print_table(rows: t.Sequence[msgspec.Struct]) -> None:
-    """Print rows of one kind as a table."""
+    """Print rows of one type as a table; field names are the head."""
     names = rows[0].__struct_fields__
     table = [names, *[[_format_cell(getattr(row, name)) for name in names] for row in rows]]
     widths = [max(len(cells[i]) for cells in table) for i in range(len(names))]
--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -1,7 +1,7 @@
-"""Measures what nodes add to a call, and the goodput under overload, on loopback.
+"""Measures the latency that nodes add to a call, and goodput under overload, on loopback.
 
-Run by ``python -m benchmarks.calls``. Every call is checked: it must not be lost, doubled, crossed,
-cut or falsely refused as not run.
+Run by ``python -m benchmarks.calls``. Calls that were lost, doubled, crossed, cut or falsely
+refused as not run are counted as broken; see :class:`bulrushflow.standins.load.Summary`.
 """
 
 import asyncio
@@ -36,7 +36,10 @@
 
 
 class AddedRow(msgspec.Struct):
-    """Latency of one way to the target, and processor time of the nodes on it."""
+    """Latency of one way to the target, and processor time of the nodes on it.
+
+    Added latencies are relative to direct calls. Processor times are per call, without idle load.
+    """
 
     way: str
     calls: int
@@ -52,7 +55,10 @@
 
 
 class GoodputRow(msgspec.Struct):
-    """What callers got at one multiple of the targets' capacity."""
+    """Outcomes of the calls at one multiple of the targets' capacity.
+
+    ``broken`` leaves out lost calls, which are counted as ``unanswered``.
+    """
 
     way: str
     multiple: float
@@ -68,7 +74,7 @@
 
 
 class Report(msgspec.Struct):
-    """The whole run, with its settings."""
+    """Settings and results of one benchmark run."""
 
     seed: int
     rate_per_s: float
@@ -81,7 +87,7 @@
 
 @dataclass(slots=True)
 class Way:
-    """One way to the target, over all rounds."""
+    """Measurements of one way to the target, summed over all rounds."""
 
     name: str
     url: str
@@ -93,7 +99,10 @@
 
 
 async def measure_added(fleet: Fleet, report: Report) -> None:
-    """Compare calls sent straight to a target with calls through nodes, in alternating rounds."""
+    """Measure direct calls, calls through a bare proxy and calls through one or two nodes.
+
+    The ways take turns in each round.
+    """
     behaviour = {"work_ms": LATENCY_WORK_MS}
     ingress = fleet.add_pair("plots", "v1", LATENCY_SLOTS, behaviour)
     serving = fleet.add_pair("statements", "v1", LATENCY_SLOTS, behaviour)
@@ -118,7 +127,11 @@
 
 
 async def measure_goodput(fleet: Fleet, report: Report, through_nodes: bool) -> None:
-    """Offer multiples of the targets' capacity, through nodes or round robin without limits."""
+    """Measure goodput at each of :data:`LOAD_MULTIPLES` of the targets' capacity.
+
+    :param through_nodes: call through nodes; otherwise the targets directly, round robin and
+        without admission control.
+    """
     pairs = [pair for pair in fleet.pairs if pair not in fleet.pairs[:2]]
     capacity = len(pairs) * OVERLOAD_SLOTS / (OVERLOAD_WORK_MS / 1000)
     urls = [pair.caller_url if through_nodes else pair.target_url for pair in pairs]
@@ -227,12 +240,12 @@
     """Measure latency added by nodes and goodput under overload."""
 
     seed: t.Annotated[int, cappa.Arg(long=True, help="seed of the calls")] = 1
-    rate: t.Annotated[float, cappa.Arg(long=True, help="calls per second for latency")] = 270.0
-    rounds: t.Annotated[int, cappa.Arg(long=True, help="rounds of latency")] = 4
-    seconds: t.Annotated[float, cappa.Arg(long=True, help="length of each load")] = 5.0
+    rate: t.Annotated[float, cappa.Arg(long=True, help="latency calls per second")] = 270.0
+    rounds: t.Annotated[int, cappa.Arg(long=True, help="rounds of the latency part")] = 4
+    seconds: t.Annotated[float, cappa.Arg(long=True, help="seconds per load")] = 5.0
     base_port: t.Annotated[int, cappa.Arg(long=True, help="first TCP port")] = 25100
     part: t.Annotated[str, cappa.Arg(long=True, help="all, added or goodput")] = "all"
-    json: t.Annotated[pathlib.Path | None, cappa.Arg(long=True, help="file for results")] = None
+    json: t.Annotated[pathlib.Path | None, cappa.Arg(long=True, help="write JSON here")] = None
 
     def __call__(self) -> None:
         report = Report(self.seed, self.rate, self.rounds, self.seconds)
@@ -250,7 +263,7 @@
         if self.json is not None:
             self.json.write_bytes(msgspec.json.encode(report))
         if report.ended_badly:
-            sys.exit(f"{report.ended_badly} processes ended badly")
+            sys.exit(f"{report.ended_badly} processes failed or did not stop in time")
 
     async def _measure(self, fleet: Fleet, report: Report) -> None:
         await measure_added(fleet, report)
