--- a/benchmarks/move_model/scenarios.py
+++ b/benchmarks/move_model/scenarios.py
@@ -1,37 +1,39 @@
-"""The rows of the table: what calls to the old and the new version meet, moment by moment."""
+"""Scenarios: error rates and latencies of the old and the new version over time."""
 
 import random
 import typing as t
 from dataclasses import dataclass
 
-from benchmarks.move_model.draws import LatencyParts
-from benchmarks.move_model.draws import latency_parts
+from benchmarks.move_model.draws import LatencyDistribution
+from benchmarks.move_model.draws import latency_distribution
 
 ROUTES: t.Final = (("/balances", 0.6), ("/entries", 0.3), ("/yearly", 0.1))
 FAULTY_ROUTE = "/yearly"
-BASE_ERRORS = 0.005
-LOAD_SHARE_PERMILLE = 400
-"""Share of calls from which a fault that needs load shows."""
-
-NORMAL = latency_parts(1.0)
-BUSY = latency_parts(2.0)
-COLD = latency_parts(8.0)
-TAILED = latency_parts(1.0, tail_share=0.1, tail_scale=8.0)
-SLOW_BY_FACTOR: t.Final = {factor: latency_parts(factor) for factor in (2.0, 3.0, 8.0)}
+BASE_ERROR_RATE = 0.005
+LOAD_FAULT_SHARE_PERMILLE = 400
+"""Traffic share from which a fault that depends on load shows."""
+
+NORMAL_LATENCY = latency_distribution(1.0)
+BUSY_LATENCY = latency_distribution(2.0)
+COLD_LATENCY = latency_distribution(8.0)
+LONG_TAIL_LATENCY = latency_distribution(1.0, tail_fraction=0.1, tail_scale=8.0)
+SLOW_LATENCY_BY_FACTOR: t.Final = {
+    factor: latency_distribution(factor) for factor in (2.0, 3.0, 8.0)
+}
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What calls to one version on one route meet in one tick."""
+    """Error rate and latencies of the calls to one version on one route in one tick."""
 
-    errors: float = BASE_ERRORS
-    latency: LatencyParts = NORMAL
+    errors: float = BASE_ERROR_RATE
+    latency: LatencyDistribution = NORMAL_LATENCY
 
 
 class Scenario:
-    """One run's conditions; subclasses change what the base, a good version, shows.
+    """Conditions of one run; the base class has a healthy new version, subclasses differ.
 
-    :param span_s: seconds from the move's statement to its deadline.
+    :param span_s: seconds from the rollout order to its deadline.
     """
 
     bad = False
@@ -42,153 +44,159 @@
         self.rng = rng
         self.span_s = span_s
 
-    def load(self, now_s: float) -> float:
-        """Return the factor on the rate of calls."""
+    def load_factor(self, now_s: float) -> float:
+        """Return the factor on the call rate."""
         return 1.0
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
-        """Tell whether the new version's fault shows now."""
+        """Return whether the new version's fault shows now."""
         return False
 
-    def old(self, now_s: float, route: str) -> Outcome:
-        """Return what the old version shows."""
+    def old_outcome(self, now_s: float, route: str) -> Outcome:
+        """Return the outcome of calls to the old version."""
         return Outcome()
 
-    def new(self, now_s: float, route: str, share_permille: int) -> Outcome:
-        """Return what the new version shows."""
-        return self.old(now_s, route)
+    def new_outcome(self, now_s: float, route: str, share_permille: int) -> Outcome:
+        """Return the outcome of calls to the new version."""
+        return self.old_outcome(now_s, route)
 
 
 class ColdStart(Scenario):
-    """Each new target is slow for its first seconds and calls."""
+    """Each target of the new version is slow during its cold start."""
 
     cold_start = True
 
 
 class LoadBurst(Scenario):
-    """Three times the calls for a while, with both versions slower and shedding some."""
+    """Triple load for a while; both versions are slower and fail 3 % of calls."""
 
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
-        self._starts_s = rng.uniform(0.15, 0.75) * span_s
-        self._ends_s = self._starts_s + 0.15 * span_s
+        self._start_s = rng.uniform(0.15, 0.75) * span_s
+        self._end_s = self._start_s + 0.15 * span_s
 
-    def load(self, now_s: float) -> float:
-        return 3.0 if self._starts_s <= now_s < self._ends_s else 1.0
+    def load_factor(self, now_s: float) -> float:
+        return 3.0 if self._start_s <= now_s < self._end_s else 1.0
 
-    def old(self, now_s: float, route: str) -> Outcome:
-        if self._starts_s <= now_s < self._ends_s:
-            return Outcome(0.03, BUSY)
+    def old_outcome(self, now_s: float, route: str) -> Outcome:
+        if self._start_s <= now_s < self._end_s:
+            return Outcome(0.03, BUSY_LATENCY)
         return Outcome()
 
 
-class FaultInBoth(Scenario):
-    """A dependency fails for a while, under both versions."""
+class FaultInBothVersions(Scenario):
+    """A dependency of both versions fails for a while."""
 
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
-        self._starts_s = rng.uniform(0.15, 0.8) * span_s
-        self._ends_s = self._starts_s + 0.1 * span_s
+        self._start_s = rng.uniform(0.15, 0.8) * span_s
+        self._end_s = self._start_s + 0.1 * span_s
 
-    def old(self, now_s: float, route: str) -> Outcome:
-        if self._starts_s <= now_s < self._ends_s:
-            return Outcome(0.4, SLOW_BY_FACTOR[8.0])
+    def old_outcome(self, now_s: float, route: str) -> Outcome:
+        if self._start_s <= now_s < self._end_s:
+            return Outcome(0.4, SLOW_LATENCY_BY_FACTOR[8.0])
         return Outcome()
 
 
-class Noisy(Scenario):
-    """Error rates that wander apart at random, and a long tail of latency, in both versions."""
+class NoisyOutcomes(Scenario):
+    """Both versions have a long latency tail and error rates drawn anew for each tick and route."""
 
-    def old(self, now_s: float, route: str) -> Outcome:
-        return Outcome(self.rng.uniform(0.0, 0.04), TAILED)
+    def old_outcome(self, now_s: float, route: str) -> Outcome:
+        return Outcome(self.rng.uniform(0.0, 0.04), LONG_TAIL_LATENCY)
 
 
 class Fails(Scenario):
-    """Part of the new version's calls fail."""
+    """A fixed fraction of the new version's calls fails."""
 
     bad = True
 
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
-        self._errors = rng.choice((0.1, 0.3, 1.0))
+        self._error_rate = rng.choice((0.1, 0.3, 1.0))
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
         return True
 
-    def new(self, now_s: float, route: str, share_permille: int) -> Outcome:
+    def new_outcome(self, now_s: float, route: str, share_permille: int) -> Outcome:
         if not self.is_faulty(now_s, share_permille):
             return Outcome()
-        return Outcome(max(BASE_ERRORS, self._errors))
+        return Outcome(max(BASE_ERROR_RATE, self._error_rate))
 
 
 class Slows(Scenario):
-    """All of the new version's calls take longer."""
+    """All calls to the new version are slower by a fixed factor."""
 
     bad = True
 
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
-        self._latency = SLOW_BY_FACTOR[rng.choice((2.0, 3.0, 8.0))]
+        self._latency = SLOW_LATENCY_BY_FACTOR[rng.choice((2.0, 3.0, 8.0))]
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
         return True
 
-    def new(self, now_s: float, route: str, share_permille: int) -> Outcome:
+    def new_outcome(self, now_s: float, route: str, share_permille: int) -> Outcome:
         if not self.is_faulty(now_s, share_permille):
             return Outcome()
-        return Outcome(BASE_ERRORS, self._latency)
+        return Outcome(BASE_ERROR_RATE, self._latency)
+
 
+class _DelayedFault(Scenario):
+    """Delays the fault to a random time of the rollout."""
 
-class _Later(Scenario):
     def __init__(self, rng: random.Random, span_s: float) -> None:
         super().__init__(rng, span_s)
-        self._begins_s = rng.uniform(0.1, 0.8) * span_s
+        self._fault_start_s = rng.uniform(0.1, 0.8) * span_s
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
-        return now_s >= self._begins_s
+        return now_s >= self._fault_start_s
 
 
-class FailsLater(_Later, Fails):
-    """Failures begin at a random time of the move."""
+class FailsLater(_DelayedFault, Fails):
+    """Failures begin at a random time of the rollout."""
 
 
-class SlowsLater(_Later, Slows):
-    """Slowness begins at a random time of the move."""
+class SlowsLater(_DelayedFault, Slows):
+    """Slowness begins at a random time of the rollout."""
 
 
 class FailsUnderLoad(Fails):
-    """Failures show only once the new version has much of the load."""
+    """Failures show only from a high traffic share on."""
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
-        return share_permille >= LOAD_SHARE_PERMILLE
+        return share_permille >= LOAD_FAULT_SHARE_PERMILLE
 
 
 class SlowsUnderLoad(Slows):
-    """Slowness shows only once the new version has much of the load."""
+    """Slowness shows only from a high traffic share on."""
 
     def is_faulty(self, now_s: float, share_permille: int) -> bool:
-        return share_permille >= LOAD_SHARE_PERMILLE
+        return share_permille >= LOAD_FAULT_SHARE_PERMILLE
 
 
 class FailsOnOneRoute(Fails):
-    """Failures on the route with the fewest calls only."""
+    """Only the route with the fewest calls fails."""
 
-    def new(self, now_s: float, route: str, share_permille: int) -> Outcome:
-        return super().new(now_s, route, share_permille) if route == FAULTY_ROUTE else Outcome()
+    def new_outcome(self, now_s: float, route: str, share_permille: int) -> Outcome:
+        return (
+            super().new_outcome(now_s, route, share_permille)
+            if route == FAULTY_ROUTE
+            else Outcome()
+        )
 
 
-class LyingHealth(Fails):
-    """Fails at once while its health endpoint claims to be well; health isn't read."""
+class MisleadingHealthCheck(Fails):
+    """Calls fail while the health endpoint reports success; decisions don't use health checks."""
 
 
 class FewCallsGood(Scenario):
-    """A good version with a tenth of the calls."""
+    """A healthy version at a tenth of the call rate."""
 
     rate_factor = 0.1
 
 
 class FewCallsFails(Fails):
-    """A version that fails at once, with a tenth of the calls."""
+    """Calls fail from the start, at a tenth of the call rate."""
 
     rate_factor = 0.1
 
@@ -197,8 +205,8 @@
     "good": Scenario,
     "good, cold start": ColdStart,
     "good, load burst": LoadBurst,
-    "good, fault in both": FaultInBoth,
-    "good, noisy": Noisy,
+    "good, fault in both": FaultInBothVersions,
+    "good, noisy": NoisyOutcomes,
     "good, few calls": FewCallsGood,
     "fails at once": Fails,
     "slows at once": Slows,
@@ -207,6 +215,6 @@
     "fails under load": FailsUnderLoad,
     "slows under load": SlowsUnderLoad,
     "fails on one route": FailsOnOneRoute,
-    "fails, lying health": LyingHealth,
+    "fails, lying health": MisleadingHealthCheck,
     "fails, few calls": FewCallsFails,
 }
--- a/benchmarks/moves.py
+++ b/benchmarks/moves.py
@@ -1,6 +1,6 @@
-"""Moves measured: seeded scenarios at several call rates, against two baselines.
+"""Benchmark of rollouts: seeded scenarios at several call rates, against two baselines.
 
-Each row gives what the decision code made of a table of call outcomes in virtual time.
+The call outcomes are drawn from a model and the decision code runs in virtual time, without nodes.
 """
 
 import concurrent.futures
@@ -19,12 +19,12 @@
 from benchmarks.move_model.scenarios import SCENARIOS_BY_NAME
 
 SPAN_AND_TICK_BY_RATE: t.Final = {200.0: (120.0, 0.5), 20.0: (300.0, 0.5), 2.0: (900.0, 1.0)}
-"""A move's time and the time between two decisions in seconds, by calls a second."""
+"""Rollout duration and decision interval in seconds, by calls per second."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One scenario at one rate under one policy."""
+    """Results of one scenario at one call rate under one policy, over all its runs."""
 
     scenario: str
     rate_per_s: float
@@ -42,12 +42,20 @@
 
 
 def measure(scenario: str, rate: float, policy: str, runs: int, seed: int) -> Row:
-    """Run one row."""
+    """Run one scenario ``runs`` times and return its row.
+
+    :param rate: calls per second, a key of :data:`SPAN_AND_TICK_BY_RATE`.
+    """
     span_s, tick_s = SPAN_AND_TICK_BY_RATE[rate]
-    kind = SCENARIOS_BY_NAME[scenario]
+    scenario_type = SCENARIOS_BY_NAME[scenario]
     results = [
         run_once(
-            kind, POLICIES_BY_NAME[policy], rate, span_s, tick_s, f"{seed}/{scenario}/{rate}/{i}"
+            scenario_type,
+            POLICIES_BY_NAME[policy],
+            rate,
+            span_s,
+            tick_s,
+            f"{seed}/{scenario}/{rate}/{i}",
         )
         for i in range(runs)
     ]
@@ -59,7 +67,7 @@
         rate,
         policy,
         runs,
-        kind.bad,
+        scenario_type.bad,
         statistics.fmean(r.done_on_time for r in results),
         statistics.fmean(r.taken_back for r in results),
         statistics.fmean(bad_calls),
@@ -67,12 +75,12 @@
         sum(bad_calls) / max(1, calls),
         statistics.fmean(stops) if stops else 0.0,
         _p99(stops),
-        _wrong_reasons(results, kind.bad),
+        _unexpected_reasons(results, scenario_type.bad),
     )
 
 
-def _wrong_reasons(results: list[RunResult], bad: bool) -> list[str]:
-    """Return a few reasons of outcomes that aren't the wanted ones."""
+def _unexpected_reasons(results: list[RunResult], bad: bool) -> list[str]:
+    """Return up to three reasons from runs that rolled a good version back or kept a bad one."""
     return [r.reason for r in results if r.taken_back is not bad][:3]
 
 
@@ -80,7 +88,7 @@
     return sorted(values)[int(0.99 * (len(values) - 1))] if values else 0.0
 
 
-def _line(row: Row) -> str:
+def _format_row(row: Row) -> str:
     return (
         f"{row.scenario:<22}{row.rate_per_s:>6g}  {row.policy:<15}"
         f"{100 * row.on_time:>8.1f}{100 * row.taken_back:>8.1f}"
@@ -92,11 +100,11 @@
 @cappa.command(name="moves")
 @dataclasses.dataclass
 class MovesBenchmark:
-    """Measure moves on seeded scenarios."""
+    """Measure rollouts in seeded scenarios."""
 
-    runs: t.Annotated[int, cappa.Arg(long=True, help="runs a row")] = 500
-    seed: t.Annotated[int, cappa.Arg(long=True, help="seed")] = 1
-    workers: t.Annotated[int, cappa.Arg(long=True, help="processes that run rows")] = 4
+    runs: t.Annotated[int, cappa.Arg(long=True, help="runs per row")] = 500
+    seed: t.Annotated[int, cappa.Arg(long=True, help="seed of the scenarios")] = 1
+    workers: t.Annotated[int, cappa.Arg(long=True, help="worker processes")] = 4
     policy: t.Annotated[list[str], cappa.Arg(long=True, help="only these policies")] = (
         dataclasses.field(default_factory=list)
     )
@@ -104,7 +112,7 @@
         dataclasses.field(default_factory=list)
     )
     rate: t.Annotated[
-        list[float], cappa.Arg(long=True, help="only these rates in calls a second")
+        list[float], cappa.Arg(long=True, help="only these rates in calls per second")
     ] = dataclasses.field(default_factory=list)
     json: t.Annotated[pathlib.Path | None, cappa.Arg(long=True, help="write JSON here")] = None
 
@@ -123,7 +131,7 @@
         with concurrent.futures.ProcessPoolExecutor(self.workers) as pool:
             rows = []
             for row in pool.map(measure, *zip(*jobs, strict=True)):
-                print(_line(row), flush=True)
+                print(_format_row(row), flush=True)
                 rows.append(row)
         seconds = time.monotonic() - started_at
         print(f"{self.runs} runs a row, seed {self.seed}, {seconds:.0f} s")
@@ -134,7 +142,7 @@
 
 
 def main() -> None:
-    """Run the measurement."""
+    """Run the benchmark."""
     cappa.invoke(MovesBenchmark)
 
 
