--- a/src/bulrushflow/sidecar/dispatcher.py
+++ b/src/bulrushflow/sidecar/dispatcher.py
@@ -40,7 +40,7 @@
 FULL_LOAD = 1.0
 """Calls per slot from which a target has no slot free."""
 
-VersionFilter = t.Callable[[str, t.Sequence[Peer]], t.Sequence[Peer]]
+PeerFilter = t.Callable[[str, t.Sequence[Peer]], t.Sequence[Peer]]
 
 
 class CallProgress:
@@ -107,7 +107,7 @@
         admission: AdmissionController,
         forwarder: PeerForwarder,
         balancer: Balancer,
-        filter_peers: VersionFilter,
+        filter_peers: PeerFilter,
         metrics: Metrics,
         decisions: DecisionLog,
         rng: random.Random,
