--- a/src/bulrushflow/routing/balancer.py
+++ b/src/bulrushflow/routing/balancer.py
@@ -100,11 +100,11 @@
         report.reported_at = now
 
     def _preferred(self, remaining: list[Member], now: float) -> list[Member]:
-        near = [
+        local = [
             m for m in remaining if m.data_centre == self._data_centre and self.load(m, now) < 1
         ]
-        if near:
-            return near
+        if local:
+            return local
         free = [m for m in remaining if self.load(m, now) < 1]
         return free or remaining
 
