--- a/src/bulrushflow/timers.py
+++ b/src/bulrushflow/timers.py
@@ -136,5 +136,5 @@
             try:
                 await callback()
             except Exception:
-                # The timer goes on after a failure of its callback.
+                # A failing callback must stop neither its own timer nor the others'.
                 logger.exception("the callback of timer {} failed", name)
